--- a/src/ferryroad/relay/types.cpp
+++ b/src/ferryroad/relay/types.cpp
@@ -2,8 +2,8 @@
 
 namespace ferryroad::relay {
 
-std::string_view to_string(dispatch_ground ground) {
-    switch (ground) {
+std::string_view to_string(dispatch_ground precondition) {
+    switch (precondition) {
         case dispatch_ground::key:
             return "key";
         case dispatch_ground::no_quarantine:
@@ -20,12 +20,12 @@
     return "time_left";
 }
 
-dispatch_failure withheld_for(dispatch_ground ground) {
+dispatch_failure withheld_for(dispatch_ground precondition) {
     dispatch_failure failure;
     failure.kind = core::execution::failure_kind::withheld;
     failure.proof = core::execution::failure_proof::not_sent;
-    failure.lost = ground;
-    failure.message = "not sent: lost " + std::string(to_string(ground));
+    failure.lost = precondition;
+    failure.message = "not sent: precondition lost: " + std::string(to_string(precondition));
     return failure;
 }
 
--- a/src/ferryroad/relay/types.hpp
+++ b/src/ferryroad/relay/types.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What relayed traffic is made of: a caller's call with an opaque body, what a dispatch of it
-/// to an engine adds, and how an engine's answer begins.
+/// Value types of relayed traffic: a caller's request with an opaque body, the parameters added
+/// when it is dispatched to an engine, and the head of the engine's answer.
 #pragma once
 
 #include "ferryroad/base/endpoint.hpp"
@@ -21,20 +21,20 @@
 
 namespace ferryroad::relay {
 
-/// One request as the caller sent it. Immutable once shared.
+/// A request as the caller sent it. Immutable once shared.
 struct relay_call {
     base::request_id id;
     http::request message;  ///< End-to-end headers only.
     std::string host;
-    std::optional<base::duration> time_left;  ///< That the caller will wait, from `arrived`.
+    std::optional<base::duration> time_left;  ///< How long the caller waits, from `arrived`.
     std::optional<std::string> api_key;
     std::optional<core::prefix::declared_prompt> prompt;
-    std::optional<std::uint64_t> told_tokens;    ///< Of the prompt and expected of the answer.
-    std::optional<std::uint64_t> last_event_id;  ///< The caller resumes after this event.
+    std::optional<std::uint64_t> told_tokens;    ///< Prompt and expected answer, if declared.
+    std::optional<std::uint64_t> last_event_id;  ///< The caller resumes a stream after this.
     base::monotonic_time arrived{};
 };
 
-/// One process behind an address.
+/// An engine process and its address.
 struct engine_target {
     base::engine_name name;
     base::endpoint address;
@@ -42,80 +42,83 @@
     friend bool operator==(const engine_target&, const engine_target&) = default;
 };
 
-/// What a dispatch stands on, and may lose while its connection is opened.
+/// A precondition of a dispatch. It holds when the engine is selected and may cease to hold while
+/// the connection is opened or while the request waits at the engine.
 enum class dispatch_ground {
-    key,             ///< The caller's, as confirmed.
-    no_quarantine,   ///< No engine is known to have ended under the request.
-    engine_process,  ///< The one chosen is listed.
-    engine_stays,    ///< It isn't about to leave.
-    engine_serves,   ///< Its weights and software may get the request.
-    time_left        ///< Of the caller's.
+    key,             ///< The caller's API key is valid.
+    no_quarantine,   ///< The request is not quarantined for crashing engines.
+    engine_process,  ///< The selected engine process is still registered.
+    engine_stays,    ///< The engine is not shutting down.
+    engine_serves,   ///< The engine's weights and software may serve the request.
+    time_left        ///< The caller's deadline has not passed.
 };
 
-/// @return the ground's name for logs. Thread-safe.
-std::string_view to_string(dispatch_ground ground);
+/// @return the precondition's name for logs. Thread-safe.
+std::string_view to_string(dispatch_ground precondition);
 
-/// What holds of a dispatch right before its first byte is written.
+/// Result of checking a dispatch's preconditions right before its first byte is written.
 struct last_look {
-    std::optional<dispatch_ground> lost;  ///< Then it must not be sent.
-    base::duration time_left{};
+    std::optional<dispatch_ground> lost;  ///< If set, the dispatch must not be sent.
+    base::duration time_left{};           ///< For the engine to work on the request.
 
     friend bool operator==(const last_look&, const last_look&) = default;
 };
 
-/// What a dispatch adds to the caller's call.
+/// A caller's request together with the parameters of one attempt at an engine.
 struct dispatch {
     std::shared_ptr<const relay_call> call;
     base::duration time_left{};
     std::optional<base::tenant_name> tenant;
-    std::optional<std::uint64_t> expected_version;  ///< Of the weights.
+    std::optional<std::uint64_t> expected_version;  ///< Weights version required of the engine.
     std::optional<std::string> cache_scope;
     std::optional<base::endpoint> fetch_state_from;
     std::optional<base::endpoint> save_state_to;
     std::optional<std::uint32_t> priority;  ///< 0 is the most urgent.
     std::optional<std::uint64_t> resume_after;
     bool fresh_connection = false;
-    /// Asked where it is set, once a connection is there and no byte was written. To be asked from
-    /// the event loop's thread, and not after `upstream::open` has ended.
+    /// If set, called once the connection is open and before any byte is written; checks the
+    /// dispatch's preconditions again. Call it from the event loop's thread only, and not after
+    /// `upstream::open` has returned.
     std::function<last_look()> look_again;
 };
 
-/// An engine's answer, from its head on.
+/// An engine's answer whose head has been received.
 struct opened_answer {
     unsigned status = 0;
-    http::header_list headers;  ///< End-to-end only.
+    http::header_list headers;  ///< End-to-end headers only.
     bool is_event_stream = false;
-    std::optional<std::uint64_t> version;  ///< Of the engine's weights.
+    std::optional<std::uint64_t> version;  ///< Weights version the engine reported.
     std::unique_ptr<http::byte_stream> body;
 };
 
-/// A dispatch that brought no answer of use.
+/// Why a dispatch produced no usable answer.
 struct dispatch_failure {
     core::execution::failure_kind kind{};
     core::execution::failure_proof proof = core::execution::failure_proof::unknown;
     std::optional<base::duration> retry_after;
-    std::optional<std::uint64_t> version;  ///< That the engine said it has.
+    std::optional<std::uint64_t> version;  ///< Weights version the engine reported.
     std::string message;
-    std::optional<dispatch_ground> lost;       ///< Where it was withheld: why.
-    std::optional<dispatch_ground> withdrawn;  ///< Where the router ended it as it waited: why.
+    std::optional<dispatch_ground> lost;       ///< Set if the dispatch was not sent.
+    std::optional<dispatch_ground> withdrawn;  ///< Set if cancelled while waiting.
 };
 
-/// @return the failure of a dispatch that was not sent, as it had lost `ground`. Thread-safe.
-dispatch_failure withheld_for(dispatch_ground ground);
+/// @return the failure of a dispatch that was not sent because `precondition` no longer held.
+/// Thread-safe.
+dispatch_failure withheld_for(dispatch_ground precondition);
 
-/// What happens to the requests that run at an engine which takes new weights.
+/// What happens to the requests in progress at an engine that loads new weights.
 enum class running_requests {
-    end_first,  ///< The engine waits for them, and takes no new ones meanwhile.
-    carry_on    ///< They go on under the new weights, after a pause.
+    end_first,  ///< The engine drains them before loading and accepts no new ones meanwhile.
+    carry_on    ///< They are paused and continue under the new weights.
 };
 
-/// An order for an engine to take new weights.
+/// A fenced order for an engine to load a weights version.
 struct weights_order {
     std::string model;
     std::uint64_t version = 0;
-    std::uint64_t expected_orders = 0;
+    std::uint64_t expected_orders = 0;  ///< The engine refuses if it has accepted others.
     running_requests running = running_requests::end_first;
-    std::string holder;
+    std::string holder;  ///< Name of the router that holds the rollout lease.
     base::fencing_token token;
 
     friend bool operator==(const weights_order&, const weights_order&) = default;
--- a/src/ferryroad/relay/upstream.hpp
+++ b/src/ferryroad/relay/upstream.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What the relay asks of an engine protocol. An adapter for each published protocol models
-/// this concept; the relay itself names no header of any.
+/// The interface between the relay and an engine protocol. Each supported protocol has an adapter
+/// that models this concept; the relay itself depends on no protocol's header names.
 #pragma once
 
 #include "ferryroad/coordination/rollout/weights_rollout.hpp"
@@ -12,10 +12,14 @@
 
 namespace ferryroad::relay {
 
-/// `open` sends a dispatch and returns once the answer's head is there, or says what its
-/// failure proves; it asks `dispatch::look_again` before the first byte. `report` asks an engine
-/// about itself. `order` sends a fenced order. All are called from the event loop's thread and end
-/// by exception where cancelled.
+/// - `open` calls `dispatch::look_again` once it has a connection, sends the dispatch, and returns
+///   when the answer's head has been received. A failure states what it proves about whether the
+///   request ran.
+/// - `report` queries an engine's state; it returns nothing if the engine does not answer.
+/// - `order` sends an engine a fenced order to load new weights.
+///
+/// All are called from the event loop's thread, take at most the given limit, and throw if
+/// cancelled.
 template <typename T>
 concept upstream = requires(T& port, const engine_target& target, dispatch sent,
                             weights_order order, base::duration limit) {
