--- a/src/ferryroad/relay/begin_watch.hpp
+++ b/src/ferryroad/relay/begin_watch.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The time of one exchange with an engine: until when its request must have begun there, how long
-/// the engine may work at it, and what both took, for the choices after it.
+/// Timing of one exchange with an engine: the time by which the request must have begun there, how
+/// long the engine may work on it, and how long both took, as input to later engine selections.
 #pragma once
 
 #include "ferryroad/base/time.hpp"
@@ -13,50 +13,56 @@
 
 namespace ferryroad::relay {
 
-/// Follows a request's exchanges one after the other. Used from the event loop's thread; what it is
-/// made with outlives it.
-class begin_watch {
+/// Tracks a request's successive exchanges. A request begins when the engine sends its first event;
+/// until then it waits. Used from the event loop's thread; the constructor's arguments must outlive
+/// it.
+class exchange_timing {
   public:
-    begin_watch(engine_selection& selection, const policy_source& policies, const relay_plan& plan)
+    exchange_timing(engine_selection& selection, const policy_source& policies,
+                    const relay_plan& plan)
         : m_selection(selection), m_policies(policies), m_plan(plan) {}
 
-    /// The request is about to be sent to the engine chosen.
+    /// Starts a new exchange: the request is about to be sent to the selected engine.
     void sent(const selected_engine& chosen, base::monotonic_time now);
-    /// The first event came. @param version of the engine's weights, where it said one.
-    /// @return how long newer weights had been named; nothing where it has the newest.
+    /// Records the first event. @param version of the engine's weights, if it reported one.
+    /// @return how long ago newer weights were announced; nothing if the engine has the newest.
     std::optional<base::duration> begun(const std::optional<std::uint64_t>& version,
                                         base::monotonic_time now);
-    /// The head of an answer that is no stream came, so that the request has begun. Some engines
-    /// send it with the answer's end: it says nothing of when.
+    /// Records the head of a non-streaming answer, which shows that the request has begun. It does
+    /// not show when, as some engines send the head only once the answer is complete.
     void answered(base::monotonic_time now) { m_first_event_at = now; }
-    /// The answer ended as the engine meant it to.
+    /// Records that the answer is complete.
     void ended(base::monotonic_time now);
-    /// The request will not begin there any more: it was withdrawn, or refused for want of time.
+    /// Records that the request will not begin at the engine: the router withdrew it, or the engine
+    /// refused it because its time had run out.
     void withdrawn(base::monotonic_time now);
 
-    /// @return whether the engine hasn't begun with the request, as far as its answer shows.
-    bool waits() const { return !m_first_event_at; }
-    /// @return whether the request still waits at the engine, and may no longer begin there.
+    /// @return whether the request waits at the engine, i.e. the answer does not show yet that it
+    /// has begun.
+    bool is_waiting() const { return !m_first_event_at; }
+    /// @return whether the request still waits at the engine although it must not begin there any
+    /// more.
     bool may_no_longer_begin(base::monotonic_time now) const;
-    /// @param silence how long the engine may be silent otherwise.
-    /// @param refusal_wait for the engine's own word that it has not run the request.
-    /// @return how long to wait for what comes next.
-    base::duration patience(base::duration silence, base::duration refusal_wait,
-                            base::monotonic_time now) const;
-    /// @return whether a naming to come may end the wait sooner than `patience` says: the engine
-    /// has the newest weights, and isn't told an end.
-    bool depends_on_namings() const;
-    /// @return when to look next whether the request may still begin, by what has been named until
-    /// now; after `now` while it may.
-    base::monotonic_time next_look(base::monotonic_time now) const;
-    /// @return how long the engine may work at the request, its wait there included; not above 0
-    /// where no time is left.
+    /// @param silence limit that applies unless the request must begin sooner.
+    /// @param refusal_wait time allowed for the engine to report that it has not run the request.
+    /// @return how long to wait for the next part of the answer.
+    base::duration wait_limit(base::duration silence, base::duration refusal_wait,
+                              base::monotonic_time now) const;
+    /// @return whether newer weights announced in the future may end the wait sooner than
+    /// `wait_limit`: the engine has the newest weights and was not given a time to stop.
+    bool can_become_outdated() const;
+    /// @return when to check next whether the request may still begin, by the weights announced so
+    /// far; later than `now` while it may.
+    base::monotonic_time next_check(base::monotonic_time now) const;
+    /// @return how long the engine may work on the request, including its wait there; zero or
+    /// negative if no time is left.
     base::duration time_for_engine(base::monotonic_time now) const;
-    /// @return since the request was sent.
+    /// @return the time since the request was sent.
     base::duration since_sent(base::monotonic_time now) const { return now - m_sent_at; }
 
   private:
-    /// By all that has been named until now, also since the engine was chosen.
+    /// @return when the request must have begun, by all weights announced so far, including since
+    /// the engine was selected; nothing if it may begin at any time.
     std::optional<base::monotonic_time> begin_by() const;
 
     engine_selection& m_selection;
--- a/src/ferryroad/relay/dispatch_grounds.cpp
+++ b/src/ferryroad/relay/dispatch_grounds.cpp
@@ -9,30 +9,31 @@
             plan.tenant, std::move(excluded), plan.on->target_gap};
 }
 
-bool dispatch_grounds::key_holds() const {
+bool dispatch_grounds::key_is_valid() const {
     if (m_plan.tenant == nullptr) {
         return true;
     }
-    const auto current = m_with.policies.current();
-    const auto* holder = current->find_tenant(*m_plan.call->api_key);
-    return m_with.policies.keys_hold(m_with.scheduler.now()) && holder != nullptr &&
-           holder->name == m_plan.tenant->name;
+    const auto current = m_sources.policies.current();
+    const auto* tenant = current->find_tenant(*m_plan.call->api_key);
+    return m_sources.policies.keys_hold(m_sources.scheduler.now()) && tenant != nullptr &&
+           tenant->name == m_plan.tenant->name;
 }
 
 const core::quarantine::quarantined_request* dispatch_grounds::quarantine() const {
-    return m_with.quarantine == nullptr ? nullptr : m_with.quarantine->find(m_plan.identity);
+    return m_sources.quarantine == nullptr ? nullptr : m_sources.quarantine->find(m_plan.identity);
 }
 
-/// One whose exchange just broke isn't sent on where an engine had ended under it before: it would
-/// most likely be the third (4 engines under each repeatable request where 3 are enough).
+// A request whose exchange just broke is not retried if an engine has already crashed while running
+// it: it would most likely crash a third one. 3 crashes suffice for quarantine; without this check,
+// each repeatable request crashed 4 engines.
 bool dispatch_grounds::is_held_back() const {
-    return quarantine() != nullptr || (m_broke && m_with.quarantine != nullptr &&
-                                       m_with.quarantine->is_suspect(m_plan.identity));
+    return quarantine() != nullptr || (m_broke && m_sources.quarantine != nullptr &&
+                                       m_sources.quarantine->is_suspect(m_plan.identity));
 }
 
 std::optional<dispatch_ground> dispatch_grounds::lost_before_sending(
     const selected_engine& chosen, const known_engine* engine, base::monotonic_time now) const {
-    if (!key_holds()) {
+    if (!key_is_valid()) {
         return dispatch_ground::key;
     }
     if (is_held_back()) {
@@ -44,33 +45,35 @@
     if (engine->listed.leaving) {
         return dispatch_ground::engine_stays;
     }
-    if (!m_with.selection.still_serves(chosen, query_of(m_plan), now)) {
+    if (!m_sources.selection.still_serves(chosen, query_of(m_plan), now)) {
         return dispatch_ground::engine_serves;
     }
     return now < m_plan.deadline ? std::nullopt : std::optional(dispatch_ground::time_left);
 }
 
 bool dispatch_grounds::can_be_lost() const {
-    return m_watch.waits() && (m_with.quarantine != nullptr || m_watch.depends_on_namings());
+    return m_timing.is_waiting() &&
+           (m_sources.quarantine != nullptr || m_timing.can_become_outdated());
 }
 
-/// A request that waited was looked at only until it was sent, so that it ended a further engine
-/// when its turn came, after it had been quarantined for the engines before.
-///
-/// A suspect stays where it is: an engine that ends makes a suspect of each request in progress
-/// there, and most of them did nothing.
+// A quarantine must be noticed here, too: a request that was quarantined while it waited at an
+// engine would crash that engine as well when its turn came.
+//
+// Mere suspects are left waiting: when an engine crashes, every request in progress there becomes a
+// suspect, and most of them did not cause the crash.
 runtime::task<dispatch_ground> dispatch_grounds::until_lost() const {
-    const bool follows_namings = m_watch.depends_on_namings();
+    const bool can_become_outdated = m_timing.can_become_outdated();
     for (;;) {
-        const base::monotonic_time now = m_with.scheduler.now();
+        const base::monotonic_time now = m_sources.scheduler.now();
         if (quarantine() != nullptr) {
             co_return dispatch_ground::no_quarantine;
         }
-        if (follows_namings && m_watch.may_no_longer_begin(now)) {
+        if (can_become_outdated && m_timing.may_no_longer_begin(now)) {
             co_return dispatch_ground::engine_serves;
         }
-        const auto look_at = follows_namings ? std::optional(m_watch.next_look(now)) : std::nullopt;
-        co_await m_with.waiting.sleep(m_plan.identity, look_at);
+        const auto check_at =
+            can_become_outdated ? std::optional(m_timing.next_check(now)) : std::nullopt;
+        co_await m_sources.waiting.sleep(m_plan.identity, check_at);
     }
 }
 
--- a/src/ferryroad/relay/dispatch_grounds.hpp
+++ b/src/ferryroad/relay/dispatch_grounds.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What a dispatch stands on: looked at before its first byte, and again while the request waits at
-/// its engine, whenever something has changed that it stands on.
+/// Preconditions of a dispatch. They are checked before its first byte is sent, and some of them
+/// again whenever they may have changed while the request waits at its engine.
 #pragma once
 
 #include "ferryroad/base/time.hpp"
@@ -18,8 +18,8 @@
 
 namespace ferryroad::relay {
 
-/// Where the grounds are known. All outlive the requests.
-struct ground_sources {
+/// The components that the preconditions are read from. All must outlive the requests.
+struct precondition_sources {
     runtime::scheduler& scheduler;
     const engine_selection& selection;
     const policy_source& policies;
@@ -27,47 +27,54 @@
     waiting_requests& waiting;
 };
 
-/// @param excluded engines that must not get the request.
-/// @return what an engine for the plan's request is chosen by. The plan outlives it.
+/// @param excluded engines that must not be selected.
+/// @return the query that selects an engine for the plan's request. It refers to the plan, which
+/// must outlive it.
 selection_query query_of(const relay_plan& plan, std::vector<base::engine_name> excluded = {});
 
-/// Of one request, from exchange to exchange. Used from the event loop's thread; the plan and the
-/// watch outlive it.
+/// Checks the preconditions of one request's successive exchanges. Used from the event loop's
+/// thread; the plan and the timing must outlive it.
 ///
-/// While the request waits, only two grounds are followed. The others hold on: a key counts as of
-/// the sending, an engine that leaves or whose software is given up ends what it took before, an
-/// engine's process takes its connections with it, and the time left has a timer of its own.
+/// While the request waits at an engine, only its quarantine and the age of the engine's weights
+/// are monitored. The other preconditions need no check after sending: the key is only required to
+/// be valid when the request is sent, an engine that is shutting down or whose software is being
+/// replaced completes the requests it accepted before, a process that terminates closes its
+/// connections, and the deadline has a timer of its own.
 class dispatch_grounds {
   public:
-    dispatch_grounds(ground_sources with, const relay_plan& plan, const begin_watch& watch)
-        : m_with(with), m_plan(plan), m_watch(watch) {}
+    dispatch_grounds(precondition_sources sources, const relay_plan& plan,
+                     const exchange_timing& timing)
+        : m_sources(sources), m_plan(plan), m_timing(timing) {}
 
-    /// @return whether the caller's key holds, as far as this router may say.
-    bool key_holds() const;
-    /// @return the request's quarantine, or null where it has none. The pointer holds until the
+    /// @return whether the caller's API key is valid by a sufficiently fresh policy.
+    bool key_is_valid() const;
+    /// @return the request's quarantine, or null if it has none. The pointer is valid until the
     /// next call.
     const core::quarantine::quarantined_request* quarantine() const;
-    /// Engines may have ended under the request's repeats, or under this one, since it came.
+    /// @return whether the request must not be sent because engines crashed while running it or its
+    /// repeats. This may change after the request has arrived.
     bool is_held_back() const;
-    /// An exchange of the request broke, and its engine wasn't about to leave.
+    /// Records that an exchange of the request broke at an engine that was not shutting down.
     void exchange_broke() { m_broke = true; }
 
-    /// @param chosen with its place in the registry; null where that process is listed no more.
-    /// @return what doesn't hold any more of what the choice stood on.
+    /// @param chosen the selected engine.
+    /// @param engine its registry entry, or null if its process is no longer registered.
+    /// @return the first precondition that no longer holds, or nothing if all hold.
     std::optional<dispatch_ground> lost_before_sending(const selected_engine& chosen,
                                                        const known_engine* engine,
                                                        base::monotonic_time now) const;
-    /// @return whether `until_lost` may end while the request waits.
+    /// @return whether the request waits and `until_lost` may complete.
     bool can_be_lost() const;
-    /// Ends when the request must not begin any more at the engine that it waits at.
-    /// @return the ground that went.
+    /// Completes when the request must no longer begin at the engine where it waits; otherwise runs
+    /// until cancelled.
+    /// @return the precondition that was lost.
     runtime::task<dispatch_ground> until_lost() const;
 
   private:
-    ground_sources m_with;
+    precondition_sources m_sources;
     const relay_plan& m_plan;
-    const begin_watch& m_watch;
-    bool m_broke = false;
+    const exchange_timing& m_timing;
+    bool m_broke = false;  ///< An exchange of the request broke.
 };
 
 }  // namespace ferryroad::relay
--- a/src/ferryroad/relay/dispatch_log.cpp
+++ b/src/ferryroad/relay/dispatch_log.cpp
@@ -22,13 +22,13 @@
     return version ? std::to_string(*version) : "none";
 }
 
-/// @return time until a request must have begun, in milliseconds; `none` where it may at any time.
+/// @return time until a request must have begun, in milliseconds; `none` if it may at any time.
 std::string begin_left_ms(const std::optional<base::monotonic_time>& begin_by,
                           base::monotonic_time now) {
     return begin_by ? std::to_string(base::to_milliseconds(*begin_by - now)) : "none";
 }
 
-/// @return since when weights are outdated, in milliseconds; `none` of the newest.
+/// @return how long weights have been outdated, in milliseconds; `none` for the newest.
 std::string outdated_ms(const std::optional<base::monotonic_time>& since,
                         base::monotonic_time now) {
     return since ? std::to_string(base::to_milliseconds(now - *since)) : "none";
--- a/src/ferryroad/relay/dispatch_log.hpp
+++ b/src/ferryroad/relay/dispatch_log.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The log lines of a dispatch: what was known and decided, from which operators find causes.
+/// Log lines that record what was known and decided for a dispatch, for diagnosis by operators.
 #pragma once
 
 #include "ferryroad/base/time.hpp"
@@ -12,24 +12,25 @@
 
 namespace ferryroad::relay {
 
-/// When a dispatch was decided, and how old the policy and the list of engines were that it
-/// relied on.
+/// The time of a dispatch decision, and the age of the policy and of the engine list that it was
+/// based on.
 struct dispatch_moment {
     base::monotonic_time now{};
     base::duration policy_age{};
     base::duration engines_age{};
 };
 
-/// Used from the event loop's thread, as all here.
+/// Logs a dispatch to the selected engine. Used from the event loop's thread, as all functions
+/// here.
 void log_dispatch(const relay_plan& plan, const selected_engine& selected,
                   core::execution::attempt_number attempt, const dispatch_moment& moment);
 
-/// A request was withdrawn from its engine, as it might no longer begin there.
-/// @param lost what had let it begin. @param waited since it was sent there.
+/// Logs that a request was withdrawn from its engine because it must no longer begin there.
+/// @param lost the precondition that no longer holds. @param waited time since it was sent there.
 void log_withdrawal(const relay_plan& plan, const selected_engine& selected, dispatch_ground lost,
                     base::duration waited, base::monotonic_time now);
 
-/// What `scripts/explain-reads` needs: the prompt's shared parts, at level debug.
+/// Logs the prompt's shared parts at level debug; read by `scripts/explain-reads`.
 void log_prompt(const relay_plan& plan, const selected_engine& selected,
                 const std::vector<core::prefix::scoped_part>& parts);
 
--- a/src/ferryroad/relay/planned_stop.hpp
+++ b/src/ferryroad/relay/planned_stop.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A planned stop behind a balancer that needs a while to see that this router leaves.
+/// Graceful shutdown behind a load balancer that takes a while to notice that this router stops.
 #pragma once
 
 #include "ferryroad/base/time.hpp"
@@ -11,20 +11,24 @@
 
 namespace ferryroad::relay {
 
+/// Timing of a planned stop.
 struct stop_settings {
     base::duration grace{};  ///< Until the process is killed.
-    /// Time in which the balancer sees it; requests are served as ever all that while.
+    /// Time for the load balancer to notice; requests are served as usual meanwhile. At most a
+    /// third of the grace is used.
     base::duration notice = std::chrono::milliseconds(2700);
-    /// Kept back before the grace ends.
+    /// The stop completes this long before the grace ends.
     base::duration margin = std::chrono::milliseconds(250);
 };
 
-/// Ends every answer's connection from now on. After the notice, `refuse_new` is called and no
-/// connection accepted. Returns once the last request has ended or the grace is nearly over.
+/// From now on, closes each connection after its current response. After the notice, calls
+/// `refuse_new` and accepts no further connections. Returns once all requests have completed, or
+/// when only the margin is left of the grace. The scheduler and the server must outlive the
+/// coroutine.
 runtime::task<void> planned_stop(runtime::scheduler& scheduler, http::server& callers,
                                  stop_settings settings, std::function<void()> refuse_new);
 
-/// @return a server's limits as operators declared them.
+/// @return the server limits that the traffic policy declares for callers.
 http::server_limits server_limits_of(const core::traffic::caller_limits& declared);
 
 }  // namespace ferryroad::relay
--- a/src/ferryroad/relay/refusal.cpp
+++ b/src/ferryroad/relay/refusal.cpp
@@ -96,8 +96,8 @@
     return "caller_gone";
 }
 
-relay_refusal to_relay_refusal(const core::execution::refuse& given_up) {
-    return {cause_of(given_up.reason), given_up.report, given_up.retry_after};
+relay_refusal to_relay_refusal(const core::execution::refuse& action) {
+    return {cause_of(action.reason), action.report, action.retry_after};
 }
 
 http::response answer_of(const relay_refusal& refusal) {
@@ -105,8 +105,8 @@
     const std::string_view type = status < 500 ? "invalid_request_error" : "server_error";
     http::response answer = http::error_answer(
         status, {type, to_string(refusal.cause), core::execution::to_string(refusal.report)});
-    const bool may_return = status == unavailable || status == too_many_requests;
-    if (may_return && refusal.retry_after) {
+    const bool may_retry = status == unavailable || status == too_many_requests;
+    if (may_retry && refusal.retry_after) {
         answer.headers.add("Retry-After", seconds_text(*refusal.retry_after));
     }
     return answer;
--- a/src/ferryroad/relay/relay_metrics.cpp
+++ b/src/ferryroad/relay/relay_metrics.cpp
@@ -82,7 +82,7 @@
         .observe(base::to_seconds(outcome.longest_gap));
 }
 
-void relay_metrics::set_quarantine(const relay_gauges& now) {
+void relay_metrics::set_quarantine_gauges(const relay_gauges& now) {
     const auto set = [this](const char* name, const char* help, double value) {
         m_registry.gauge_of(name, help).set(value);
     };
@@ -186,43 +186,43 @@
         static_cast<double>(now.release_traffic.table_calls));
     set("ferryroad_relay_releases_led", "Releases that this router coordinates.",
         static_cast<double>(now.releases_led));
-    set_quarantine(now);
+    set_quarantine_gauges(now);
     for (const own_release& one : now.releases) {
-        set_release(one);
+        set_release_gauges(one);
     }
     return m_registry.to_text();
 }
 
-void relay_metrics::set_release(const own_release& one) {
+void relay_metrics::set_release_gauges(const own_release& release) {
     using coordination::release::release_phase;
-    const std::string& pool = one.order.pool.value;
+    const std::string& pool = release.order.pool.value;
     for (const auto phase : {release_phase::trial, release_phase::promoted,
                              release_phase::completed, release_phase::rolled_back}) {
         m_registry
             .gauge_of("ferryroad_relay_release_phase",
                       "1 for the phase of the pool's order that was told last.",
                       {{"pool", pool}, {"phase", std::string(to_string(phase))}})
-            .set(one.phase == phase ? 1 : 0);
+            .set(release.phase == phase ? 1 : 0);
     }
     const auto set = [&](const char* name, const char* help, double value) {
         m_registry.gauge_of(name, help, {{"pool", pool}}).set(value);
     };
     set("ferryroad_relay_release_requests", "Requests of the pool while a trial was allowed.",
-        static_cast<double>(one.requests));
+        static_cast<double>(release.requests));
     set("ferryroad_relay_release_exposed", "Of these, sent to the version on trial.",
-        static_cast<double>(one.exposed));
+        static_cast<double>(release.exposed));
     set("ferryroad_relay_release_evidence",
         "Of this router alone, that the version is bad (logarithm of a likelihood ratio).",
-        one.found.evidence);
+        release.found.evidence);
     set("ferryroad_relay_release_evidence_bound", "Evidence from which on it is bad.",
-        one.found.bound);
-    set_answers(one);
+        release.found.bound);
+    set_answer_gauges(release);
 }
 
-void relay_metrics::set_answers(const own_release& one) {
+void relay_metrics::set_answer_gauges(const own_release& release) {
     core::canary::outcome_counts current;
     core::canary::outcome_counts canary;
-    for (const auto& [route, counted] : one.counts) {
+    for (const auto& [route, counted] : release.counts) {
         current.answered += counted.current.answered;
         current.failed += counted.current.failed;
         canary.answered += counted.canary.answered;
@@ -232,7 +232,7 @@
         m_registry
             .gauge_of("ferryroad_relay_release_answers",
                       "Answers under the pool's order, by the engine's version and by outcome.",
-                      {{"pool", one.order.pool.value}, {"group", group}, {"outcome", outcome}})
+                      {{"pool", release.order.pool.value}, {"group", group}, {"outcome", outcome}})
             .set(count);
     };
     set("current", "failed", current.failed);
--- a/src/ferryroad/relay/relay_metrics.hpp
+++ b/src/ferryroad/relay/relay_metrics.hpp
@@ -15,28 +15,28 @@
 
 namespace ferryroad::relay {
 
-/// What is read off the parts of a router when its metrics are asked for.
+/// Values read from the components of a router when its metrics are scraped.
 struct relay_gauges {
-    double policy_age_seconds = 0;
-    double engines_age_seconds = 0;
+    double policy_age_seconds = 0;   ///< Since the policy was last confirmed.
+    double engines_age_seconds = 0;  ///< Since the list of engines was last confirmed.
     std::uint64_t policy_version = 0;
     std::size_t engines_ready = 0;
     std::size_t engines_leaving = 0;
     std::size_t engines_suspended = 0;
-    double shed_share = 0;  ///< Of streams, of the worst pool.
-    std::uint64_t quota_asks = 0;
-    std::uint64_t quota_asks_unanswered = 0;
-    std::uint64_t quota_own_part = 0;
-    std::size_t quota_tenants = 0;
+    double shed_share = 0;  ///< Share of streams shed in the pool with the highest share, 0 to 1.
+    std::uint64_t quota_asks = 0;             ///< Requests another router was asked to count.
+    std::uint64_t quota_asks_unanswered = 0;  ///< Of these, not answered in time.
+    std::uint64_t quota_own_part = 0;         ///< Requests decided by this router's own share.
+    std::size_t quota_tenants = 0;            ///< Tenants that this router counts for.
     std::size_t active_requests = 0;
-    std::size_t remembered_parts = 0;
-    std::size_t followed_holders = 0;
-    std::size_t live_peers = 0;
-    std::uint64_t notices_sent = 0;
-    std::uint64_t notices_malformed = 0;
+    std::size_t remembered_parts = 0;     ///< Prompt parts whose holders are known.
+    std::size_t followed_holders = 0;     ///< Engines and stores whose cache state is tracked.
+    std::size_t live_peers = 0;           ///< Routers heard from recently.
+    std::uint64_t notices_sent = 0;       ///< Datagrams sent to other routers.
+    std::uint64_t notices_malformed = 0;  ///< Datagrams received that could not be decoded.
     bool holds_rollout_lease = false;
     std::uint64_t orders_sent = 0;
-    bool reads_owner = false;  ///< Reads the store for other routers.
+    bool reads_owner = false;  ///< Reads the store's tables on behalf of other routers.
     std::uint64_t table_calls_to_peers = 0;
     std::uint64_t table_answers_to_peers = 0;
     std::uint64_t table_requests_malformed = 0;
@@ -47,26 +47,27 @@
     std::size_t quarantined_requests = 0;
     std::uint64_t crash_rows_written = 0;
     std::vector<metered_bytes> exchanged;
-    std::vector<own_release> releases;  ///< Of each pool that was ever ordered to change.
+    std::vector<own_release> releases;  ///< One for each pool with a release order.
     release_counters release_traffic;
-    std::size_t releases_led = 0;  ///< That this router coordinates.
+    std::size_t releases_led = 0;  ///< Releases that this router coordinates.
 };
 
-/// Used from the event loop's thread; the registry outlives it.
+/// Records request outcomes and renders a router's metrics. Used from the event loop's thread; the
+/// registry must outlive it.
 class relay_metrics {
   public:
     explicit relay_metrics(runtime::metrics& registry) : m_registry(registry) {}
 
-    /// A request has its final answer.
+    /// Records a request that has received its final answer.
     void request_ended(const relay_plan& plan, const relay_outcome& outcome);
-    /// Sets the gauges. @return everything in Prometheus's text format.
+    /// Sets the gauges to `now`. @return all metrics in Prometheus text format.
     std::string to_text(const relay_gauges& now);
 
   private:
-    void set_quarantine(const relay_gauges& now);
+    void set_quarantine_gauges(const relay_gauges& now);
     void count_withdrawals(const relay_outcome& outcome);
-    void set_release(const own_release& one);
-    void set_answers(const own_release& one);
+    void set_release_gauges(const own_release& release);
+    void set_answer_gauges(const own_release& release);
 
     runtime::metrics& m_registry;
 };
--- a/src/ferryroad/relay/relay_plan.cpp
+++ b/src/ferryroad/relay/relay_plan.cpp
@@ -6,9 +6,9 @@
 
 namespace execution = core::execution;
 
-bool is_repeatable(const core::traffic::route& on) {
-    const bool stream = on.kind == core::traffic::request_kind::streaming;
-    return stream ? on.resumable : on.kind == core::traffic::request_kind::safe;
+bool is_repeatable(const core::traffic::route& route) {
+    const bool stream = route.kind == core::traffic::request_kind::streaming;
+    return stream ? route.resumable : route.kind == core::traffic::request_kind::safe;
 }
 
 core::quarantine::request_identity identity_of(const relay_plan& plan) {
@@ -43,16 +43,16 @@
     return limits;
 }
 
-void blame(known_engine& engine, const dispatch_failure& failure, bool outdated,
-           const driver_tunables& tunables, base::monotonic_time now) {
+void record_dispatch_failure(known_engine& engine, const dispatch_failure& failure, bool outdated,
+                             const driver_tunables& tunables, base::monotonic_time now) {
     switch (failure.kind) {
         case execution::failure_kind::overloaded:
             engine.refuses_until =
-                now + (outdated ? tunables.loading_pause : tunables.refusal_pause);
+                now + (outdated ? tunables.loading_backoff : tunables.refusal_backoff);
             return;
         case execution::failure_kind::stale_target:
             if (!failure.version) {
-                engine.refuses_until = now + tunables.misdirected_pause;
+                engine.refuses_until = now + tunables.misdirected_backoff;
             }
             return;
         case execution::failure_kind::rejected:
--- a/src/ferryroad/relay/relay_plan.hpp
+++ b/src/ferryroad/relay/relay_plan.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What a relayed request was resolved to, what that allows its execution, and what a failed
-/// dispatch says of its engine.
+/// A relayed request after resolution against the traffic policy, the execution rules and limits
+/// that follow from it, and how a failed dispatch is recorded against its engine.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -17,60 +17,65 @@
 
 namespace ferryroad::relay {
 
+/// Limits and timeouts of `relay_driver`.
 struct driver_tunables {
-    /// Engines asked beyond those that a request may run on, after proofs that it did not run.
+    /// Dispatches allowed beyond the route's attempts, for dispatches that provably did not run.
     std::uint32_t extra_dispatches = 2;
-    /// A repeatable request whose engine is silent for this share of the target is tried
-    /// elsewhere.
-    double silence_share = 2.0;
-    /// Beside the time that its prompt is expected to take.
+    /// A repeatable request is retried at another engine if its engine is silent for this multiple
+    /// of the route's target latency.
+    double latency_factor = 2.0;
+    /// Assumed prefill speed; the silence limit is extended by the prompt's expected prefill time.
     double prefill_tokens_per_second = 20000;
-    /// A stream whose engine pauses this many times the target gap is taken up elsewhere.
+    /// A resumable stream is resumed at another engine if its engine pauses for this multiple of
+    /// the route's target gap between events.
     double gap_factor = 4.0;
-    base::duration least_silence = std::chrono::milliseconds(600);
-    /// An engine that said it takes no work for now is passed over this long.
-    base::duration refusal_pause = std::chrono::milliseconds(150);
-    /// The same, where it is most likely loading new weights.
-    base::duration loading_pause = std::chrono::milliseconds(1000);
-    /// An address that another process answered on is passed over this long.
-    base::duration misdirected_pause = std::chrono::seconds(3);
-    /// An exchange that breaks sooner was most likely sent over a kept connection to an engine that
-    /// had just ended: such breaks come within 2 ms, those of engines that end under a request
-    /// 20 ms after it and later (logs of fleets of 5 to 8 routers).
-    base::duration least_run = std::chrono::milliseconds(10);
-    /// An engine that was told until when a request may begin says then that it has not run: its
-    /// answer is waited for this long.
+    /// Lower bound of both silence limits.
+    base::duration min_silence_limit = std::chrono::milliseconds(600);
+    /// How long an engine that refused a request as overloaded is not selected.
+    base::duration refusal_backoff = std::chrono::milliseconds(150);
+    /// The same if the engine is most likely loading new weights.
+    base::duration loading_backoff = std::chrono::milliseconds(1000);
+    /// How long an engine is not selected after another process answered at its address.
+    base::duration misdirected_backoff = std::chrono::seconds(3);
+    /// An exchange that breaks sooner was most likely sent over a pooled connection to an engine
+    /// that had already terminated. Such breaks occur within 2 ms; an engine that crashes while
+    /// running a request breaks the exchange after 20 ms or more.
+    base::duration min_run_time = std::chrono::milliseconds(10);
+    /// An engine that was given a start deadline reports, when it passes, that the request has not
+    /// run. How long the router waits for that report.
     base::duration refusal_wait = std::chrono::milliseconds(100);
-    /// Bytes of a whole answer, and of one event.
-    std::size_t answer_bytes = std::size_t{16} * 1024 * 1024;
-    /// When to come back, where nothing better is known.
+    /// Maximum size of a non-streaming answer, and of one stream event, in bytes.
+    std::size_t max_answer_bytes = std::size_t{16} * 1024 * 1024;
+    /// `Retry-After` of refusals without a better estimate.
     base::duration retry_after = std::chrono::milliseconds(150);
 };
 
-/// What a request was resolved to.
+/// A request and what it was resolved to.
 struct relay_plan {
     std::shared_ptr<const relay_call> call;
-    std::shared_ptr<const core::traffic::traffic_policy> policy;  ///< Keeps `on` and `tenant`.
-    const core::traffic::route* on = nullptr;
-    const core::traffic::tenant* tenant = nullptr;  ///< Null on public routes.
+    std::shared_ptr<const core::traffic::traffic_policy> policy;  ///< Owns `on` and `tenant`.
+    const core::traffic::route* on = nullptr;                     ///< The matching route.
+    const core::traffic::tenant* tenant = nullptr;                ///< Null on public routes.
     base::pool_name pool;
     base::monotonic_time deadline{};
-    std::uint32_t priority = 0;
-    core::quarantine::request_identity identity;
+    std::uint32_t priority = 0;                   ///< 0 is the most urgent.
+    core::quarantine::request_identity identity;  ///< Shared by repeats of the request.
 };
 
-/// @return whether the route's requests may run more than once. Thread-safe, as all here but
-/// `blame`.
-bool is_repeatable(const core::traffic::route& on);
-/// @return what the request's repeats have in common. Call and tenant are resolved.
+/// @return whether the route's requests may run more than once. Thread-safe, as are all functions
+/// here except `record_dispatch_failure`.
+bool is_repeatable(const core::traffic::route& route);
+/// @return the identity that repeats of the request share. The plan's call and tenant must be set.
 core::quarantine::request_identity identity_of(const relay_plan& plan);
+/// @return the execution rules of the plan's route and deadline.
 core::execution::execution_rules rules_of(const relay_plan& plan);
+/// @return the limits on executions and dispatches of the plan's request.
 core::execution::tunables limits_of(const relay_plan& plan, const driver_tunables& tunables);
 
-/// Notes what a failed dispatch says of the engine that it was sent to.
-/// @param outdated whether the engine has older weights of the request's model than were
-/// named: then it most likely refuses because it is taking newer ones.
-void blame(known_engine& engine, const dispatch_failure& failure, bool outdated,
-           const driver_tunables& tunables, base::monotonic_time now);
+/// Records a failed dispatch in the state of the engine that it was sent to.
+/// @param outdated whether the engine has older weights of the request's model than the newest
+/// version announced: a refusal then most likely means that it is loading newer ones.
+void record_dispatch_failure(known_engine& engine, const dispatch_failure& failure, bool outdated,
+                             const driver_tunables& tunables, base::monotonic_time now);
 
 }  // namespace ferryroad::relay
--- a/src/ferryroad/relay/request_quarantine.hpp
+++ b/src/ferryroad/relay/request_quarantine.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Finds out, with the other routers, which requests end the engines that run them, and says of
-/// each request whether it may be sent. An exchange that broke says little by itself: only where
-/// the engine takes no connection any more, or is known to have started anew, did it end.
+/// Detects, together with the other routers, requests that crash the engines that run them, and
+/// decides whether a request may be sent. A broken exchange alone does not prove a crash: an engine
+/// is taken to have crashed only if it refuses connections or is known to have restarted.
 #pragma once
 
 #include "ferryroad/core/quarantine/crash_suspects.hpp"
@@ -18,129 +18,144 @@
 
 namespace ferryroad::relay {
 
-/// Asks whether a process at the address refuses connections; no answer is no refusal.
+/// Checks whether the address refuses connections; a timeout does not count as a refusal.
 using refusal_probe = std::function<runtime::task<bool>(base::endpoint)>;
 
+/// Settings of `request_quarantine`.
 struct quarantine_settings {
     core::quarantine::suspects_tunables suspects;
-    /// From the first exchange that breaks until the engine is asked: the others break within some
-    /// milliseconds, and a process that ends may still take connections for a moment.
-    base::duration gather = std::chrono::milliseconds(20);
-    /// An engine that couldn't be asked may be seen to have started anew so much later.
+    /// From the first broken exchange until the engine is probed. An engine's other exchanges break
+    /// within a few milliseconds, and a terminating process may still accept connections briefly.
+    base::duration gather_time = std::chrono::milliseconds(20);
+    /// How long after a broken exchange a restart of the engine still confirms a crash that the
+    /// probe did not.
     base::duration confirm_within = std::chrono::seconds(5);
-    /// Named of one crash by one router; a report fits into a datagram.
-    std::size_t named = 24;
+    /// Requests that one router reports for one crash; a report must fit into a datagram.
+    std::size_t max_candidates = 24;
 };
 
+/// Counters since the start of the process.
 struct quarantine_counters {
-    std::uint64_t crashes_seen = 0;        ///< By this router.
-    std::uint64_t crashes_told = 0;        ///< Told by others, and new here.
-    std::uint64_t breaks_unconfirmed = 0;  ///< Of engines that live on, as far as is known.
-    std::uint64_t quarantined = 0;         ///< Requests that came into quarantine.
-    std::uint64_t released = 0;            ///< Freed by a good end.
+    std::uint64_t crashes_seen = 0;  ///< Crashes confirmed by this router.
+    std::uint64_t crashes_told = 0;  ///< Crashes first learnt from other routers.
+    /// Crashes suspected but not confirmed, as the engine did not refuse connections.
+    std::uint64_t breaks_unconfirmed = 0;
+    std::uint64_t quarantined = 0;  ///< Requests quarantined.
+    std::uint64_t released = 0;     ///< Suspects cleared by a completed exchange.
 };
 
+/// How an exchange broke.
 struct broken_exchange {
     bool silent = true;            ///< As in `crash_candidate`.
-    bool replaced = false;         ///< A new process is known under the engine's name.
-    base::monotonic_time began{};  ///< When the exchange did.
+    bool replaced = false;         ///< A new process has registered under the engine's name.
+    base::monotonic_time began{};  ///< When the exchange began.
 };
 
-/// A quarantined request that was taken back from the engine that it waited at.
+/// A quarantined request that was withdrawn from the engine where it waited.
 struct withdrawn_request {
     core::quarantine::request_identity request;
-    base::monotonic_time began{};  ///< Its exchange.
-    /// An engine may run it until then all the same: it had begun, or goes on with what waits there
-    /// after its connection was closed.
+    base::monotonic_time began{};  ///< When its exchange began.
+    /// Until when the engine may run it nevertheless: it may have begun already, or the engine may
+    /// keep queued requests whose connection was closed.
     base::monotonic_time until{};
 
     friend bool operator==(const withdrawn_request&, const withdrawn_request&) = default;
 };
 
-/// What this router found out, for the others.
-struct quarantine_news {
+/// Callbacks that report this router's findings to the other routers.
+struct quarantine_callbacks {
+    /// An engine crashed.
     std::function<void(const core::quarantine::engine_crash&)> crash;
+    /// A suspect completed an exchange.
     std::function<void(const core::quarantine::request_identity&)> cleared;
 };
 
-/// Used from the event loop's thread; kept until the loop has ended. The scheduler outlives it.
+/// Used from the event loop's thread. It must live until the event loop has stopped, and the
+/// scheduler must outlive it.
 class request_quarantine {
   public:
     request_quarantine(runtime::scheduler& scheduler, refusal_probe probe,
                        quarantine_settings settings = {});
 
-    /// Called once, before any traffic.
-    void on_news(quarantine_news told) { m_news = std::move(told); }
-    /// Called once, before any traffic. @param told of each request at the moment when it comes
-    /// into quarantine, whoever found it out.
-    void on_quarantined(std::function<void(const core::quarantine::request_identity&)> told) {
-        m_quarantined = std::move(told);
+    /// Sets the callbacks for this router's findings. Call once, before any traffic.
+    void on_news(quarantine_callbacks callbacks) { m_callbacks = std::move(callbacks); }
+    /// Call once, before any traffic. @param callback called for each request when it is
+    /// quarantined, whichever routers detected the crashes.
+    void on_quarantined(std::function<void(const core::quarantine::request_identity&)> callback) {
+        m_on_quarantined = std::move(callback);
     }
 
-    /// @return the request's quarantine, or null where it may be sent. The pointer holds until the
+    /// @return the request's quarantine, or null if it may be sent. The pointer is valid until the
     /// next call.
     const core::quarantine::quarantined_request* find(
         const core::quarantine::request_identity& request);
-    /// @return whether an engine is known to have ended with the request in progress.
+    /// @return whether an engine is known to have crashed with the request in progress.
     bool is_suspect(const core::quarantine::request_identity& request) const {
         return m_suspects.is_candidate(request);
     }
-    /// An exchange broke, and the engine is not known to leave.
+    /// Reports a broken exchange with an engine that is not known to be shutting down.
     void exchange_broke(const engine_target& engine,
                         const core::quarantine::request_identity& request,
                         const broken_exchange& how);
-    /// If the engine ends all the same, the request is charged with it and not those beside it.
-    void withdrawn(const base::engine_name& engine, const withdrawn_request& taken_back);
-    /// An engine answered the request to the end, whatever the answer.
+    /// Reports a request withdrawn from an engine. If the engine crashes nevertheless, the
+    /// withdrawn request becomes a candidate for having caused it.
+    void withdrawn(const base::engine_name& engine, const withdrawn_request& withdrawal);
+    /// Reports that an engine completed its answer to the request, whatever the status.
     void ended_well(const core::quarantine::request_identity& request);
-    /// The engine of that name is a new process.
+    /// Reports that the engine of that name is a new process.
     void engine_restarted(const base::engine_name& engine);
-    /// The list of engines has no engine of that name any more.
+    /// Reports that no engine of that name is registered any more.
     void engine_gone(const base::engine_name& engine);
 
-    /// Another router's findings. @param from names it in the log.
-    /// @return those of the requests that ended well here of late.
+    /// Takes in a crash reported by another router. @param from name of the router, for the log.
+    /// @return those of the crash's candidates that recently completed an exchange here.
     std::vector<core::quarantine::request_identity> learn(
-        const core::quarantine::engine_crash& told, std::string_view from);
+        const core::quarantine::engine_crash& reported, std::string_view from);
+    /// Takes in another router's report that a request completed an exchange.
     void learn_cleared(const core::quarantine::request_identity& request, std::string_view from);
 
+    /// @return the counters since the start of the process.
     const quarantine_counters& counters() const { return m_counters; }
+    /// @return the number of requests quarantined now.
     std::size_t quarantined() const { return m_suspects.quarantined(m_scheduler.now()); }
 
   private:
     static constexpr std::string_view component = "relay.quarantine";
 
-    /// Exchanges with one engine that broke about the same time.
+    /// Exchanges with one engine that broke at about the same time.
     struct broken_exchanges {
         engine_target engine;
         base::monotonic_time at{};
         std::vector<core::quarantine::crash_candidate> candidates;
-        std::uint32_t unnamed = 0;
+        std::uint32_t unnamed = 0;  ///< Silent requests beyond `max_candidates`.
         bool replaced = false;
-        base::monotonic_time began{};  ///< The newest of them.
+        base::monotonic_time began{};  ///< Start of the newest of the exchanges.
     };
 
+    /// Probes the engine and records a crash if the probe or a restart confirms it.
     runtime::task<void> confirm(base::engine_name name);
-    void confirmed(const broken_exchanges& broken, std::string_view evidence);
+    void record_confirmed_crash(const broken_exchanges& broken, std::string_view evidence);
     void wait_for_restart(broken_exchanges broken);
-    void note_quarantined();
-    void look_when_due();
-    runtime::task<void> look_until_found();
-    /// @return those withdrawn from the engine that may have run there, as candidates of its end.
+    /// Logs requests that have been quarantined since the last call and invokes `m_on_quarantined`.
+    void report_quarantined();
+    void schedule_evaluation();
+    runtime::task<void> evaluate_suspects();
+    /// Removes the requests that were withdrawn from the engine before it crashed.
+    /// @return those that may have been running there when it crashed.
     std::vector<withdrawn_request> take_withdrawn(const base::engine_name& engine,
-                                                  base::monotonic_time ended_at);
-    void note_released(const core::quarantine::request_identity& request, std::string_view from);
+                                                  base::monotonic_time crashed_at);
+    void report_cleared(const core::quarantine::request_identity& request, std::string_view from);
 
     runtime::scheduler& m_scheduler;
     refusal_probe m_probe;
     quarantine_settings m_settings;
     core::quarantine::crash_suspects m_suspects;
-    std::map<base::engine_name, broken_exchanges> m_broken;       ///< The engine is being asked.
-    std::map<base::engine_name, broken_exchanges> m_unconfirmed;  ///< It took a connection.
+    std::map<base::engine_name, broken_exchanges> m_broken;  ///< By engine, while it is probed.
+    std::map<base::engine_name, broken_exchanges> m_unconfirmed;  ///< The probe was not refused.
     std::map<base::engine_name, std::vector<withdrawn_request>> m_withdrawn;
-    quarantine_news m_news;
-    std::function<void(const core::quarantine::request_identity&)> m_quarantined;
-    bool m_looking = false;  ///< `look_until_found` runs.
+    quarantine_callbacks m_callbacks;
+    std::function<void(const core::quarantine::request_identity&)> m_on_quarantined;
+    bool m_evaluating = false;  ///< `evaluate_suspects` is running.
     quarantine_counters m_counters;
 };
 
--- a/src/ferryroad/relay/stream_admission.hpp
+++ b/src/ferryroad/relay/stream_admission.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Whether a stream's request is sent or refused because its pool's engines are short, and what
-/// its own answer says for the requests after it.
+/// Load shedding of streaming requests: decides whether one is refused because its pool's engines
+/// are overloaded, and feeds its own latency back into the decisions for later requests.
 #pragma once
 
 #include "ferryroad/core/admission/load_shedder.hpp"
@@ -12,8 +12,8 @@
 
 namespace ferryroad::relay {
 
-/// One request. Requests that aren't streams are never refused, and say nothing. Used from the
-/// event loop's thread; what it is made with outlives it.
+/// Admission of one request. Non-streaming requests are never refused and contribute no latency.
+/// Used from the event loop's thread; the constructor's arguments must outlive it.
 class stream_admission {
   public:
     stream_admission(core::admission::load_shedder& shedder, const runtime::scheduler& scheduler,
@@ -22,16 +22,18 @@
     stream_admission(const stream_admission&) = delete;
     stream_admission& operator=(const stream_admission&) = delete;
 
-    /// @return whether the request, not sent yet, is refused. Logs it.
+    /// @return whether the request, which has not been sent yet, must be refused. Logs a refusal.
     bool refuses();
-    /// @return when to come back: spread over as long again as answers take now.
+    /// @return when the caller may retry: between one and two times the current delay of first
+    /// events, to spread retries.
     base::duration retry_after() const;
 
-    /// It was sent to an engine, again or for the first time, and no event has come yet.
+    /// Records that the request was sent to an engine, before any event was received. May be called
+    /// again for a retry.
     void sent();
-    /// Its first event came.
+    /// Records the first event.
     void answered();
-    /// Its exchange ended.
+    /// Records that the exchange ended, with or without an event.
     void ended();
 
   private:
@@ -39,8 +41,8 @@
     const runtime::scheduler& m_scheduler;
     const relay_plan& m_plan;
     bool m_is_stream;
-    double m_draw;  ///< From 0 to 1, by the id of the request.
-    std::optional<std::uint64_t> m_number;
+    double m_draw;                          ///< From 0 to 1, derived from the request's id.
+    std::optional<std::uint64_t> m_number;  ///< At the shedder, until the first event.
 };
 
 }  // namespace ferryroad::relay
--- a/src/ferryroad/relay/types.hpp
+++ b/src/ferryroad/relay/types.hpp
@@ -98,8 +98,8 @@
     std::optional<base::duration> retry_after;
     std::optional<std::uint64_t> version;  ///< Weights version the engine reported.
     std::string message;
-    std::optional<dispatch_ground> lost;       ///< Set if the dispatch was not sent.
-    std::optional<dispatch_ground> withdrawn;  ///< Set if cancelled while waiting.
+    std::optional<dispatch_ground> lost;       ///< Why it was not sent, if so.
+    std::optional<dispatch_ground> withdrawn;  ///< Why it was cancelled while waiting, if so.
 };
 
 /// @return the failure of a dispatch that was not sent because `precondition` no longer held.
--- a/src/ferryroad/relay/waiting_requests.cpp
+++ b/src/ferryroad/relay/waiting_requests.cpp
@@ -9,7 +9,7 @@
 
 namespace ferryroad::relay {
 
-/// Listed while it lives.
+/// A sleeping request, registered in `m_sleepers` for its lifetime.
 class waiting_requests::sleeper {
   public:
     sleeper(waiting_requests& all, const core::quarantine::request_identity& request)
@@ -40,8 +40,8 @@
         co_await std::move(woken);
         co_return;
     }
-    auto over = m_scheduler.sleep_until(*until);
-    co_await (std::move(woken) || std::move(over));
+    auto timeout = m_scheduler.sleep_until(*until);
+    co_await (std::move(woken) || std::move(timeout));
 }
 
 void waiting_requests::wake(const core::quarantine::request_identity& request) {
--- a/src/ferryroad/relay/waiting_requests.hpp
+++ b/src/ferryroad/relay/waiting_requests.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Lets requests that wait at engines sleep until what they depend on may have changed.
+/// Suspends requests that wait at engines until their preconditions may have changed.
 #pragma once
 
 #include "ferryroad/core/quarantine/request_identity.hpp"
@@ -11,20 +11,20 @@
 
 namespace ferryroad::relay {
 
-/// Used from the event loop's thread. The scheduler outlives it, and it outlives what sleeps.
+/// Used from the event loop's thread. The scheduler must outlive it, and it must outlive all
+/// coroutines that sleep in it.
 class waiting_requests {
   public:
     explicit waiting_requests(runtime::scheduler& scheduler) : m_scheduler(scheduler) {}
     waiting_requests(const waiting_requests&) = delete;
     waiting_requests& operator=(const waiting_requests&) = delete;
 
-    /// Ends with the next `wake` of the request, or at `until` where there is such a moment. Asio
-    /// cancellation ends it by exception.
+    /// Completes on the next `wake` of the request, or at `until` if given. Throws if cancelled.
     runtime::task<void> sleep(core::quarantine::request_identity request,
                               std::optional<base::monotonic_time> until);
-    /// Wakes the request and its repeats, wherever they wait; costs nothing to the others.
+    /// Wakes the request and all of its repeats; other requests keep sleeping.
     void wake(const core::quarantine::request_identity& request);
-    /// @return how many sleep now.
+    /// @return the number of sleeping requests.
     std::size_t size() const { return m_sleepers.size(); }
 
   private:
--- a/test/relay/fake_upstream.hpp
+++ b/test/relay/fake_upstream.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Scaffolding: an upstream whose answers a test scripts, and a caller's writer that keeps what
-/// it was given.
+/// Test fixtures: an upstream with scripted answers, and a response writer that records the
+/// response.
 #pragma once
 
 #include "ferryroad/relay/relay_service.hpp"
@@ -35,6 +35,7 @@
     return "id: " + std::to_string(id) + "\ndata: x\n\n";
 }
 
+/// Plays the steps of a scripted body, and counts the bodies that are open.
 class scripted_body final : public http::byte_stream {
   public:
     scripted_body(runtime::scheduler& scheduler, std::vector<body_step> steps,
@@ -78,8 +79,8 @@
     bool stream = true;
     std::string signature = "sig";
     std::vector<body_step> body;
-    base::duration delay{};
-    base::duration connecting{};  ///< Before that, until the connection is there.
+    base::duration delay{};       ///< From the connection to the answer's head.
+    base::duration connecting{};  ///< Time to open the connection, before the delay.
 };
 
 inline dispatch_failure failure(core::execution::failure_kind kind,
@@ -91,7 +92,8 @@
     return failed;
 }
 
-/// Answers dispatches in order, whichever engine gets them; then silence.
+/// Gives scripted answers to dispatches in order, whatever their engine. Without a scripted answer,
+/// a dispatch times out.
 class fake_upstream {
   public:
     explicit fake_upstream(runtime::scheduler& scheduler) : m_scheduler(scheduler) {}
@@ -108,7 +110,7 @@
         const last_look look = sent.look_again();
         looks.push_back(look);
         if (look.lost) {
-            co_return withheld_for(*look.lost);  // Nothing was sent: the script stays as it is.
+            co_return withheld_for(*look.lost);  // Nothing was sent, so no answer is consumed.
         }
         if (answers.empty()) {
             co_await m_scheduler.sleep_for(limit);
@@ -149,10 +151,10 @@
     std::deque<scripted_answer> answers;
     std::vector<std::string> engines;
     std::vector<dispatch> dispatches;
-    std::vector<last_look> looks;  ///< Of each dispatch, once its connection was there.
+    std::vector<last_look> looks;  ///< Of each dispatch, once its connection was open.
     std::map<std::string, coordination::rollout::engine_report> reports;
     std::vector<weights_order> orders;
-    std::vector<base::duration> limits;  ///< Of each dispatch's silence.
+    std::vector<base::duration> limits;  ///< Time limit of each dispatch.
     std::shared_ptr<int> open_bodies = std::make_shared<int>(0);
 
   private:
@@ -161,7 +163,7 @@
 
 static_assert(upstream<fake_upstream>);
 
-/// Keeps the answer.
+/// Records the response.
 class recorded_writer : public http::response_writer {
   public:
     explicit recorded_writer(runtime::scheduler& scheduler) : m_scheduler(scheduler) {}
@@ -207,7 +209,7 @@
     runtime::scheduler& m_scheduler;
 };
 
-/// A service over two engines of one pool, with one route of each kind.
+/// A relay service with two engines in one pool and one route of each kind.
 struct relay_fixture {
     ferryroad::test::loopback loop;
     fake_upstream upstream{loop.scheduler};
@@ -241,8 +243,8 @@
     }
     static relay_settings settings_of() {
         relay_settings settings;
-        settings.driver.least_silence = std::chrono::milliseconds(30);
-        settings.driver.silence_share = 1.0;
+        settings.driver.min_silence_limit = std::chrono::milliseconds(30);
+        settings.driver.latency_factor = 1.0;
         return settings;
     }
     static core::traffic::declaration declared(std::uint64_t version = 1) {
@@ -278,7 +280,7 @@
         one.slots = 8;
         return one;
     }
-    /// An engine of another software version, and a trial of it.
+    /// Registers an engine with another software version and starts a trial of that version.
     void begin_trial() {
         namespace release = coordination::release;
         const base::monotonic_time now = loop.scheduler.now();
@@ -303,7 +305,7 @@
         one.arrived = loop.scheduler.now();
         return one;
     }
-    /// Serves one call to its end.
+    /// Serves one request to completion.
     void serve(relay_call one) {
         loop.context.restart();
         const bool ended = loop.run(
--- a/test/relay/outdated_begin_test.cpp
+++ b/test/relay/outdated_begin_test.cpp
@@ -1,10 +1,11 @@
-/// Requests began on outdated weights up to 8,196 ms after newer ones had been named, where 8,000
-/// are allowed. A router looked at how outdated an engine's weights were when it sent a request,
-/// and set aside 800 ms for what it might wait there. But the engine read other prompts first, and
-/// a long one itself, and began 2.5 s later; nobody looked again. The router had expected as much:
+/// Requests must not begin on outdated weights later than 8,000 ms after newer ones were announced.
+/// Guards against checking the age of the weights only when a request is sent, with a fixed
+/// allowance of 800 ms for its wait: an engine that first prefilled other prompts and then a long
+/// one began the request 2.5 s after it was sent, and 8,196 ms after newer weights had been
+/// announced. The wait was predictable:
 ///   dispatched  engine=i-f4c0f8cbd2 cost_ms=2820 prefill_tokens=42509 running=31 slots=32
 ///   ended       engine=i-f4c0f8cbd2 cause=answered dispatches=1 first_event_ms=2586
-/// the first of them 5,518 ms after the weights had been named.
+/// The request had been sent 5,518 ms after the announcement.
 #include "test/relay/queueing_upstream.hpp"
 
 using namespace ferryroad;
@@ -17,10 +18,11 @@
 constexpr std::uint64_t long_prompt = 42509;
 constexpr std::uint64_t short_prompt = 300;
 constexpr std::uint64_t short_answer = 30;
-/// An answer that lasts longer than outdated weights may be used.
+/// Tokens of an answer that takes longer than outdated weights may be used.
 constexpr std::uint64_t long_answer = 4000;
 
-/// Sends a request each 50 ms. @param end after the naming. @param path of the requests' route.
+/// Sends a request every 50 ms. @param end time after the announcement of newer weights, until
+/// which requests are sent. @param path of the requests' route.
 void send_until(queueing_router& router, base::duration end, const std::string& path,
                 std::uint64_t input_tokens, std::uint64_t output_tokens) {
     while (router.scheduler.now() < router.named_at + end) {
@@ -29,7 +31,7 @@
     }
 }
 
-/// The same until the weights are too old, and on until all have ended.
+/// Sends requests until the weights are too old, then runs until all requests have ended.
 void send_until_the_limit(queueing_router& router, const std::string& path,
                           std::uint64_t input_tokens, std::uint64_t output_tokens) {
     send_until(router, queueing_router::allowed, path, input_tokens, output_tokens);
@@ -38,7 +40,7 @@
 
 }  // namespace
 
-Test(outdated_begin, what_waits_long_at_its_engine_does_not_begin_after_the_limit) {
+Test(outdated_begin, repeatable_requests_do_not_begin_after_the_limit) {
     queueing_router router({{"e1", {1, 2586ms, 250ms}}, {"e2", {1, 2457ms, 300ms}}});
     router.name_weights(2);
     send_until_the_limit(router, "/resumable/", long_prompt, short_answer);
@@ -46,7 +48,7 @@
     cr_assert_leq(router.latest_outdated().count(), queueing_router::allowed.count());
 }
 
-Test(outdated_begin, nor_what_may_not_be_repeated) {
+Test(outdated_begin, unrepeatable_requests_do_not_begin_after_the_limit) {
     queueing_router router({{"e1", {1, 2586ms, 250ms}}, {"e2", {1, 2457ms, 300ms}}});
     router.name_weights(2);
     send_until_the_limit(router, "/stream/", long_prompt, short_answer);
@@ -54,7 +56,7 @@
     cr_assert_leq(router.latest_outdated().count(), queueing_router::allowed.count());
 }
 
-Test(outdated_begin, nor_where_the_wait_is_none_that_the_prompt_explains) {
+Test(outdated_begin, the_limit_holds_if_the_prompt_does_not_explain_the_wait) {
     queueing_router router({{"e1", {1, 2586ms, 50ms}}, {"e2", {1, 3100ms, 50ms}}});
     router.name_weights(2);
     send_until_the_limit(router, "/stream/", short_prompt, short_answer);
@@ -62,7 +64,7 @@
     cr_assert_leq(router.latest_outdated().count(), queueing_router::allowed.count());
 }
 
-Test(outdated_begin, nor_at_an_engine_that_keeps_what_waits_when_its_connection_is_closed) {
+Test(outdated_begin, the_limit_holds_at_engines_that_keep_requests_of_closed_connections) {
     queueing_engine keeps{1, 2586ms, 250ms};
     keeps.drops_closed = false;
     queueing_router router({{"e1", keeps}, {"e2", keeps}});
@@ -72,7 +74,7 @@
     cr_assert_leq(router.latest_outdated().count(), queueing_router::allowed.count());
 }
 
-Test(outdated_begin, nor_where_the_answer_lasts_longer_than_the_weights_may) {
+Test(outdated_begin, the_limit_holds_for_answers_that_take_longer_than_the_limit) {
     queueing_router router({{"e1", {1, 2586ms, 9s}}, {"e2", {1, 2457ms, 9s}}});
     router.name_weights(2);
     send_until_the_limit(router, "/resumable/", long_prompt, long_answer);
@@ -80,7 +82,7 @@
     cr_assert_leq(router.latest_outdated().count(), queueing_router::allowed.count());
 }
 
-Test(outdated_begin, nor_what_was_sent_just_before_newer_weights_were_named) {
+Test(outdated_begin, the_limit_holds_for_requests_sent_before_the_announcement) {
     queueing_router router({{"e1", {1, 8500ms, 250ms}}});
     router.send("/stream/", short_prompt, short_answer);
     router.run_for(10ms);
@@ -91,7 +93,7 @@
     cr_assert_eq(router.writers[0]->status, 503);
 }
 
-Test(outdated_begin, nor_where_opening_the_connection_takes_a_while) {
+Test(outdated_begin, the_limit_holds_with_slow_connections) {
     queueing_engine keeps{1, 400ms, 250ms};
     keeps.drops_closed = false;
     queueing_router router({{"e1", keeps}});
@@ -105,7 +107,7 @@
     cr_assert_leq(router.latest_outdated().count(), queueing_router::allowed.count());
 }
 
-Test(outdated_begin, nor_at_an_engine_that_says_nothing_when_the_time_is_over) {
+Test(outdated_begin, the_limit_holds_at_engines_that_do_not_report_expired_requests) {
     queueing_engine mute{1, 2586ms, 250ms};
     mute.drops_closed = false;
     mute.refuses_at_end = false;
@@ -116,7 +118,7 @@
     cr_assert_leq(router.latest_outdated().count(), queueing_router::allowed.count());
 }
 
-Test(outdated_begin, what_was_learnt_of_short_prompts_counts_for_others_not_yet_seen) {
+Test(outdated_begin, waits_of_short_prompts_predict_those_of_other_prompts) {
     queueing_engine keeps{1, 1600ms, 250ms};
     keeps.drops_closed = false;
     queueing_router router({{"e1", keeps}});
@@ -128,7 +130,7 @@
     cr_assert_leq(router.latest_outdated().count(), queueing_router::allowed.count());
 }
 
-Test(outdated_begin, what_began_in_time_is_not_cut) {
+Test(outdated_begin, a_request_that_began_in_time_is_not_cut) {
     queueing_router router({{"e1", {1, 100ms, 250ms}}});
     router.name_weights(2);
     send_until(router, 5s, "/stream/", short_prompt, short_answer);
@@ -140,7 +142,7 @@
     cr_assert_not(router.writers[last]->aborted);
 }
 
-Test(outdated_begin, what_is_withdrawn_begins_at_an_engine_with_the_newest_weights) {
+Test(outdated_begin, a_withdrawn_request_begins_at_an_engine_with_the_newest_weights) {
     queueing_router router({{"e1", {1, 6s, 250ms}}});
     router.name_weights(2);
     router.run_for(4s);
@@ -156,7 +158,7 @@
     cr_assert_eq(router.writers[0]->status, 200);
 }
 
-Test(outdated_begin, what_can_begin_in_time_still_goes_to_outdated_engines) {
+Test(outdated_begin, requests_that_can_begin_in_time_go_to_outdated_engines) {
     queueing_router router({{"e1", {1, 100ms, 50ms}}});
     router.name_weights(2);
     router.run_for(7s);
@@ -166,7 +168,7 @@
     cr_assert_eq(router.writers[0]->status, 200);
 }
 
-Test(outdated_begin, a_refusal_says_that_it_has_not_run) {
+Test(outdated_begin, a_refused_request_gets_503) {
     queueing_router router({{"e1", {1, 100ms, 50ms}}});
     router.name_weights(2);
     router.run_for(7900ms);
--- a/test/relay/outdated_givers_test.cpp
+++ b/test/relay/outdated_givers_test.cpp
@@ -1,8 +1,9 @@
-/// An engine that has taken newer weights drops what it kept under the old ones. A request that it
-/// had begun goes on, though, and where its prompt gives way to others and is read anew, that
-/// happens under the new weights and is kept in the scope of the old ones. The engine tells of it
-/// as of any other part. An engine with the old weights that fetches it answers from memory that
-/// was made under other weights than its own.
+/// Cached prompt state must not be fetched from an engine that has loaded newer weights. Such an
+/// engine drops the state cached under the old weights, but a request that it had begun continues.
+/// If that request's prompt state is evicted and computed again, this happens under the new
+/// weights, yet the engine caches it in the scope of the old ones and reports it like any other
+/// part. An engine with the old weights that fetched it would answer from state computed under
+/// other weights.
 #include "ferryroad/relay/selection.hpp"
 
 #include <criterion/criterion.h>
@@ -21,12 +22,12 @@
 
 constexpr base::monotonic_time start{100s};
 constexpr const char* old_scope = "shared/1";
-const base::engine_name reader("e1");
-const base::engine_name keeper("e2");
-const base::engine_name giver("e3");
+const base::engine_name target_engine("e1");
+const base::engine_name other_source_engine("e2");
+const base::engine_name source_engine("e3");
 
-/// Three engines of one pool with the old weights, and a store.
-struct fixture {
+/// Three engines of one pool with the old weights, and a cache store.
+struct selection_fixture {
     engine_registry registry;
     policy_source policies{policy_bounds{}};
     core::placement::warm_state warm;
@@ -34,13 +35,13 @@
     engine_selection selection{registry, policies, warm, loads, settings()};
     relay_call call;
 
-    fixture() {
+    selection_fixture() {
         core::traffic::declaration declared;
         declared.version = 1;
         declared.stores = {{{"10.0.0.9", 9}, base::zone_name("z1")}};
         policies.offer(std::move(declared));
         policies.confirm(start);
-        for (const auto& name : {reader, keeper, giver}) {
+        for (const auto& name : {target_engine, other_source_engine, source_engine}) {
             put(name, 1);
         }
         call.prompt =
@@ -62,8 +63,9 @@
         one.versions["m"] = version;
         registry.put(one);
     }
-    /// The holder tells that it keeps the first `count` parts of the prompt under old weights.
-    void hold(const base::engine_name& holder, std::size_t count) {
+    /// The holder reports that it caches the first `count` parts of the prompt under the old
+    /// weights.
+    void report_held(const base::engine_name& holder, std::size_t count) {
         warm.follow(holder, true);
         auto parts = core::prefix::scoped_parts_of(*call.prompt, old_scope);
         parts.resize(std::min(count, parts.size()));
@@ -71,7 +73,7 @@
             warm.told(part.key, holder, part.tokens, start);
         }
     }
-    /// @return the terms for an engine with the old weights.
+    /// @return the selection of an engine with the old weights.
     selected_engine select(std::vector<base::engine_name> excluded,
                            base::monotonic_time now = start + 10ms) {
         const selection_query query{call, *policies.current(), base::pool_name("p"), nullptr,
@@ -83,58 +85,58 @@
     }
 };
 
-/// @return the address that the state is fetched from.
+/// @return the address that the cached state is fetched from.
 std::string source_of(const selected_engine& chosen) {
     return chosen.fetch_state_from->to_string();
 }
 
 }  // namespace
 
-Test(outdated_givers, an_engine_with_the_weights_of_the_scope_gives) {
-    fixture at;
-    at.hold(giver, 2);
-    const auto chosen = at.select({giver});
+Test(outdated_givers, state_is_fetched_from_an_engine_with_the_weights_of_the_scope) {
+    selection_fixture fixture;
+    fixture.report_held(source_engine, 2);
+    const auto chosen = fixture.select({source_engine});
     cr_assert_eq(chosen.fetchable_tokens, 9000);
     cr_assert_str_eq(source_of(chosen).c_str(), "10.0.0.3:1");
 }
 
-Test(outdated_givers, one_that_has_newer_weights_by_now_gives_nothing) {
-    fixture at;
-    at.registry.saw_version(giver, "m", 2);
-    at.hold(giver, 2);
-    const auto chosen = at.select({giver});
+Test(outdated_givers, no_state_is_fetched_from_an_engine_with_newer_weights) {
+    selection_fixture fixture;
+    fixture.registry.saw_version(source_engine, "m", 2);
+    fixture.report_held(source_engine, 2);
+    const auto chosen = fixture.select({source_engine});
     cr_assert_eq(chosen.fetchable_tokens, 0);
     cr_assert_eq(chosen.prefill_tokens, 9500);
     cr_assert_str_eq(source_of(chosen).c_str(), "10.0.0.9:9");
 }
 
-Test(outdated_givers, nor_does_one_that_is_about_to_take_them) {
-    fixture at;
-    at.hold(giver, 2);
-    at.registry.expect_weights(giver, "m", 2, start + 1s);
-    const auto chosen = at.select({giver});
+Test(outdated_givers, no_state_is_fetched_from_an_engine_about_to_load_newer_weights) {
+    selection_fixture fixture;
+    fixture.report_held(source_engine, 2);
+    fixture.registry.expect_weights(source_engine, "m", 2, start + 1s);
+    const auto chosen = fixture.select({source_engine});
     cr_assert_eq(chosen.fetchable_tokens, 0);
     cr_assert_str_eq(source_of(chosen).c_str(), "10.0.0.9:9");
-    const auto later = at.select({giver}, start + 1s);
-    cr_assert_eq(later.fetchable_tokens, 9000, "no news: it has the old weights still");
+    const auto later = fixture.select({source_engine}, start + 1s);
+    cr_assert_eq(later.fetchable_tokens, 9000, "without news, it is taken to have the old weights");
 }
 
-Test(outdated_givers, another_that_holds_less_is_fetched_from_instead) {
-    fixture at;
-    at.registry.saw_version(giver, "m", 2);
-    at.hold(giver, 2);
-    at.hold(keeper, 1);
-    const auto chosen = at.select({giver, keeper});
+Test(outdated_givers, another_engine_that_holds_less_is_used_instead) {
+    selection_fixture fixture;
+    fixture.registry.saw_version(source_engine, "m", 2);
+    fixture.report_held(source_engine, 2);
+    fixture.report_held(other_source_engine, 1);
+    const auto chosen = fixture.select({source_engine, other_source_engine});
     cr_assert_eq(chosen.fetchable_tokens, 1000);
     cr_assert_str_eq(source_of(chosen).c_str(), "10.0.0.2:1");
 }
 
-Test(outdated_givers, what_a_store_holds_is_fetched_whatever_engines_have_taken) {
-    fixture at;
-    at.registry.saw_version(giver, "m", 2);
-    at.hold(giver, 2);
-    at.hold(holder_of(at.policies.current()->declared().stores.front()), 2);
-    const auto chosen = at.select({giver});
+Test(outdated_givers, state_is_fetched_from_a_store_whatever_weights_engines_have) {
+    selection_fixture fixture;
+    fixture.registry.saw_version(source_engine, "m", 2);
+    fixture.report_held(source_engine, 2);
+    fixture.report_held(holder_of(fixture.policies.current()->declared().stores.front()), 2);
+    const auto chosen = fixture.select({source_engine});
     cr_assert_eq(chosen.fetchable_tokens, 9000);
     cr_assert_str_eq(source_of(chosen).c_str(), "10.0.0.9:9");
 }
--- a/test/relay/planned_stop_test.cpp
+++ b/test/relay/planned_stop_test.cpp
@@ -1,5 +1,6 @@
-/// A planned stop: answers end their connections at once, new calls are served during the notice
-/// and refused after it, work at hand ends, and the grace is kept.
+/// A planned stop closes connections after their responses from the start, serves new requests
+/// during the notice and refuses them afterwards, waits for requests in progress, and completes
+/// within the grace.
 #include "ferryroad/relay/planned_stop.hpp"
 
 #include "test/http/loopback.hpp"
@@ -13,9 +14,9 @@
 
 namespace {
 
-const std::string get_text = "GET /a HTTP/1.1\r\nHost: x\r\n\r\n";
+const std::string get_request = "GET /a HTTP/1.1\r\nHost: x\r\n\r\n";
 
-struct fixture {
+struct planned_stop_fixture {
     ferryroad::test::loopback loop;
     bool refusing = false;
     bool gate_open = false;
@@ -52,58 +53,58 @@
     }
 };
 
-runtime::task<void> ask_during_notice(fixture& at) {
-    at.loop.scheduler.spawn("stop", at.stop(600ms));
-    co_await at.loop.scheduler.sleep_for(5ms);
-    std::string text = get_text;
-    const std::string answer = co_await at.ask(std::move(text));
+runtime::task<void> ask_during_notice(planned_stop_fixture& fixture) {
+    fixture.loop.scheduler.spawn("stop", fixture.stop(600ms));
+    co_await fixture.loop.scheduler.sleep_for(5ms);
+    std::string text = get_request;
+    const std::string answer = co_await fixture.ask(std::move(text));
     cr_assert(answer.starts_with("HTTP/1.1 200"), "%s", answer.c_str());
     cr_assert_neq(answer.find("Connection: close"), std::string::npos);
-    cr_assert_not(at.refusing);
-    co_await at.loop.until([&at] { return at.stopped_after.has_value(); });
+    cr_assert_not(fixture.refusing);
+    co_await fixture.loop.until([&fixture] { return fixture.stopped_after.has_value(); });
 }
 
-runtime::task<void> keep_asking_at_work(fixture& at) {
-    ferryroad::test::raw_socket socket(at.loop.context);
-    socket.connect(at.address);
+runtime::task<void> stop_during_request(planned_stop_fixture& fixture) {
+    ferryroad::test::raw_socket socket(fixture.loop.context);
+    socket.connect(fixture.address);
     co_await socket.write("GET /gated HTTP/1.1\r\nHost: x\r\n\r\n");
-    co_await at.loop.until([&at] { return at.server.active_requests() == 1; });
-    at.loop.scheduler.spawn("stop", at.stop(2s));
-    co_await at.loop.until([&at] { return at.refusing; });
-    cr_assert_not(at.stopped_after.has_value());
-    at.gate_open = true;
+    co_await fixture.loop.until([&fixture] { return fixture.server.active_requests() == 1; });
+    fixture.loop.scheduler.spawn("stop", fixture.stop(2s));
+    co_await fixture.loop.until([&fixture] { return fixture.refusing; });
+    cr_assert_not(fixture.stopped_after.has_value());
+    fixture.gate_open = true;
     const std::string answer = co_await socket.read_to_close();
     cr_assert(answer.starts_with("HTTP/1.1"), "%s", answer.c_str());
-    co_await at.loop.until([&at] { return at.stopped_after.has_value(); });
+    co_await fixture.loop.until([&fixture] { return fixture.stopped_after.has_value(); });
 }
 
-runtime::task<void> never_end(fixture& at) {
-    ferryroad::test::raw_socket socket(at.loop.context);
-    socket.connect(at.address);
+runtime::task<void> stop_during_endless_request(planned_stop_fixture& fixture) {
+    ferryroad::test::raw_socket socket(fixture.loop.context);
+    socket.connect(fixture.address);
     co_await socket.write("GET /gated HTTP/1.1\r\nHost: x\r\n\r\n");
-    co_await at.loop.until([&at] { return at.server.active_requests() == 1; });
-    co_await at.stop(300ms);
-    at.gate_open = true;
+    co_await fixture.loop.until([&fixture] { return fixture.server.active_requests() == 1; });
+    co_await fixture.stop(300ms);
+    fixture.gate_open = true;
 }
 
 }  // namespace
 
 Test(planned_stop, serves_during_the_notice_and_ends_each_connection) {
-    fixture at;
-    cr_assert(at.loop.run([&] { return ask_during_notice(at); }));
-    cr_assert(at.refusing);
+    planned_stop_fixture fixture;
+    cr_assert(fixture.loop.run([&] { return ask_during_notice(fixture); }));
+    cr_assert(fixture.refusing);
 }
 
-Test(planned_stop, waits_for_work_at_hand) {
-    fixture at;
-    cr_assert(at.loop.run([&] { return keep_asking_at_work(at); }));
+Test(planned_stop, waits_for_requests_in_progress) {
+    planned_stop_fixture fixture;
+    cr_assert(fixture.loop.run([&] { return stop_during_request(fixture); }));
 }
 
 Test(planned_stop, ends_within_the_grace) {
-    fixture at;
-    cr_assert(at.loop.run([&] { return never_end(at); }));
-    cr_assert(*at.stopped_after >= 280ms);
-    cr_assert(*at.stopped_after < 2s);
+    planned_stop_fixture fixture;
+    cr_assert(fixture.loop.run([&] { return stop_during_endless_request(fixture); }));
+    cr_assert(*fixture.stopped_after >= 280ms);
+    cr_assert(*fixture.stopped_after < 2s);
 }
 
 Test(planned_stop, limits_are_those_that_operators_declared) {
--- a/test/relay/quarantined_while_waiting_test.cpp
+++ b/test/relay/quarantined_while_waiting_test.cpp
@@ -1,14 +1,10 @@
-/// Routers tell each other of the requests under which engines end, and hold such a request back
-/// before it is sent. One that waited at an engine by then stayed there, and ended that engine as
-/// well when its turn came, with what everybody else had in progress there.
+/// A request that is quarantined while it waits at an engine must be withdrawn. Guards against
+/// checking the quarantine only until the first byte is sent: the waiting request then stayed in
+/// the engine's queue and, when its turn came, crashed that engine as well, together with all other
+/// requests in progress there. Without the withdrawal, 24 such requests crashed 78 engines, up to 5
+/// each, although 3 crashes suffice for a quarantine.
 ///
-/// Why: what a dispatch stands on was looked at until its first byte was written. While the request
-/// waited, only the age of the engine's weights was followed; nothing told it of its quarantine.
-/// Here the request waited on for the whole second in which it is to be withdrawn, with four of its
-/// five seconds left (1.07 s, 3 of 3 runs). With real routers and engines that run one request at a
-/// time, 24 such requests ended 78 engines, up to 5 each where 3 make a verdict.
-///
-/// What shows it now, of one request and digest, each line by itself before:
+/// The router logs these lines for the request:
 ///
 ///     request quarantined  digest=... crashes=3
 ///     withdrawn            digest=... lost=no_quarantine waited_ms=...
@@ -28,7 +24,7 @@
 
 namespace {
 
-/// Engines that keep all requests waiting, each until its connection is closed.
+/// Engines that keep all requests waiting until their connections are closed.
 class waiting_upstream : public fake_upstream {
   public:
     explicit waiting_upstream(runtime::scheduler& scheduler)
@@ -48,7 +44,7 @@
     int waiting = 0;
 
   private:
-    /// Counts while it lives.
+    /// Increments the count for its lifetime.
     class waiting_request {
       public:
         explicit waiting_request(int& count) : m_count(count) { ++m_count; }
@@ -63,66 +59,66 @@
     runtime::scheduler& m_scheduler;
 };
 
-struct fixture : relay_fixture {
+struct waiting_fixture : relay_fixture {
     waiting_upstream engines{loop.scheduler};
     request_quarantine quarantine{
         loop.scheduler, [](base::endpoint) -> runtime::task<bool> { co_return true; }, {}};
-    relay_service<waiting_upstream> holding{
+    relay_service<waiting_upstream> quarantining_service{
         {loop.scheduler, engines, registry, selection, policies, {}, {}, nullptr, &quarantine},
         settings_of(),
         [this](const relay_plan& plan, const relay_outcome&) { ended.push_back(plan.identity); }};
     std::vector<core::quarantine::request_identity> ended;
 
-    fixture() {
-        core::traffic::declaration patient = declared(2);
-        for (core::traffic::route& one : patient.routes) {
+    waiting_fixture() {
+        core::traffic::declaration long_timeouts = declared(2);
+        for (core::traffic::route& one : long_timeouts.routes) {
             one.timeout = 20s;
         }
-        policies.offer(std::move(patient));
+        policies.offer(std::move(long_timeouts));
         policies.confirm(loop.scheduler.now());
     }
-    /// @return what the request is known by.
+    /// @return the identity of the request, which is sent once.
     core::quarantine::request_identity identity_of(relay_call one) {
         one.time_left = 50ms;
         loop.context.restart();
-        cr_assert(loop.run([&] { return holding.handle(std::move(one), writer); }));
+        cr_assert(loop.run([&] { return quarantining_service.handle(std::move(one), writer); }));
         return ended.back();
     }
-    /// Another router tells of three engines that ended with the request in progress.
-    void tell_crashes(const core::quarantine::request_identity& request) {
+    /// Another router reports three engines that crashed with the request in progress.
+    void report_crashes(const core::quarantine::request_identity& request) {
         const base::monotonic_time now = loop.scheduler.now();
         for (const char* name : {"e7", "e8", "e9"}) {
             quarantine.learn({base::engine_name(name), now, now, {{request, true}}, 0}, "r2");
         }
     }
-    /// Sends the request, and has it quarantined as it waits.
-    /// @return how many wait at engines some time after that.
+    /// Sends the request and has it quarantined while it waits.
+    /// @return the number of requests that wait at engines `withdrawn_within` later.
     int waiting_after_quarantine(const relay_call& one,
                                  const core::quarantine::request_identity& request) {
         int left = -1;
         loop.context.restart();
         cr_assert(loop.run([&]() -> runtime::task<void> {
-            loop.scheduler.spawn("request", holding.handle(one, writer));
+            loop.scheduler.spawn("request", quarantining_service.handle(one, writer));
             co_await loop.until([&] { return engines.waiting == 1; });
-            tell_crashes(request);
+            report_crashes(request);
             co_await loop.until([&] { return quarantine.find(request) != nullptr; });
             co_await loop.scheduler.sleep_for(withdrawn_within);
             left = engines.waiting;
         }));
         return left;
     }
-    /// Of the five seconds that the caller waits.
+    /// Well within the five seconds that the caller waits.
     static constexpr base::duration withdrawn_within = 1s;
 };
 
 }  // namespace
 
 Test(quarantined_while_waiting, a_request_is_withdrawn_from_the_engine_that_it_waits_at) {
-    fixture at;
-    relay_call bad = at.call("/unsafe/");
+    waiting_fixture fixture;
+    relay_call bad = fixture.call("/unsafe/");
     bad.message.body = "bad";
-    const auto request = at.identity_of(bad);
-    bad.arrived = at.loop.scheduler.now();
-    cr_assert_eq(at.waiting_after_quarantine(bad, request), 0);
-    cr_assert_eq(at.engines.dispatches.size(), 2, "and is sent to no other");
+    const auto request = fixture.identity_of(bad);
+    bad.arrived = fixture.loop.scheduler.now();
+    cr_assert_eq(fixture.waiting_after_quarantine(bad, request), 0);
+    cr_assert_eq(fixture.engines.dispatches.size(), 2, "it must not be sent to another engine");
 }
--- a/test/relay/queueing_upstream.hpp
+++ b/test/relay/queueing_upstream.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Scaffolding: engines that begin with a request only after it has waited in their queue, and a
-/// router before them, under virtual time.
+/// Test fixtures under virtual time: engines that start a request only after it has waited in their
+/// queue, and a router in front of them.
 #pragma once
 
 #include "bench/simulation/virtual_scheduler.hpp"
@@ -19,25 +19,25 @@
 
 namespace ferryroad::relay::test {
 
-/// How one engine treats what comes to it.
+/// Behaviour of one engine.
 struct queueing_engine {
-    std::uint64_t version = 1;   ///< Of its weights.
+    std::uint64_t version = 1;   ///< Weights version.
     base::duration wait{};       ///< From a request's arrival to its first event.
     base::duration run{};        ///< From its first event to the answer's end.
-    bool drops_closed = true;    ///< Forgets what waits when its connection is closed.
-    bool refuses_at_end = true;  ///< Says that a request whose time ended in the queue has not run.
-    /// From a request's arrival until the engine says that it has not run it, where it does.
+    bool drops_closed = true;    ///< Drops a queued request when its connection is closed.
+    bool refuses_at_end = true;  ///< Reports as not run a request whose time ran out in the queue.
+    /// From a request's arrival until the engine refuses it as not run, if it does.
     std::optional<base::duration> refuses_after;
-    /// From a request's arrival until its connection breaks, where it does.
+    /// From a request's arrival until its connection breaks, if it does.
     std::optional<base::duration> breaks_after;
     bool breaks_in_answer = false;  ///< The connection breaks after the answer's first event.
-    /// What comes for the same moment is done after what the router does then.
+    /// Engine events are handled after router events that are due at the same time.
     bool turns_last = false;
-    base::duration close_delay{};  ///< Until it sees that a connection was closed.
-    bool whole_answers = false;    ///< Its answers are no streams.
+    base::duration close_delay{};  ///< Until it notices that a connection was closed.
+    bool whole_answers = false;    ///< Its answers are not streams.
 };
 
-/// A request came to an engine.
+/// The arrival of a request at an engine.
 struct arrival {
     std::string request;
     base::monotonic_time at{};
@@ -50,14 +50,15 @@
     base::monotonic_time at{};
     std::string request;
     bool drops_closed = true;
-    base::monotonic_time told_end{};  ///< The engine was told to end the request by then.
+    base::monotonic_time told_end{};  ///< Deadline that the engine was given.
 };
 
-/// Two events, the second one when the run ends; nothing more after the engine's time for it. A
-/// whole answer is one piece, when the run ends.
+/// An answer of two events, the second one at the end of the run. It breaks when the time allowed
+/// to the engine is over. A non-streaming answer has one part, at the end of the run.
 class timed_body final : public http::byte_stream {
   public:
-    /// @param resume_after the event that the caller has.
+    /// @param allowed time allowed to the engine. @param resume_after last event that the caller
+    /// has.
     timed_body(runtime::scheduler& scheduler, const queueing_engine& engine, base::duration allowed,
                std::uint64_t resume_after = 0)
         : m_scheduler(scheduler),
@@ -97,8 +98,8 @@
     http::header_list m_headers;
 };
 
-/// Its engines refuse what has no time left when its turn comes, as not run, and end what runs when
-/// its time is over.
+/// An upstream of queueing engines. They refuse a request as not run if it has no time left when
+/// its turn comes, and abort a running request when its time is over.
 class queueing_upstream {
   public:
     explicit queueing_upstream(runtime::scheduler& scheduler) : m_scheduler(scheduler) {}
@@ -108,7 +109,7 @@
                                                                          base::duration limit) {
         using core::execution::failure_kind;
         using core::execution::failure_proof;
-        // As with the client's: opening the connection is within the limit.
+        // As in the HTTP client, the limit includes opening the connection.
         const base::monotonic_time give_up = m_scheduler.now() + limit;
         const base::duration connecting = std::min(connect_time, limit);
         co_await m_scheduler.sleep_for(connecting);
@@ -163,24 +164,24 @@
     }
 
     std::map<std::string, queueing_engine> engines;
-    /// Asked, where it is set, how an engine treats one dispatch that has just come to it.
+    /// If set, returns the engine's behaviour for one dispatch that has just arrived.
     std::function<queueing_engine(const queueing_engine&, const dispatch&)> vary;
-    base::duration connect_time{};  ///< What opening a connection takes.
+    base::duration connect_time{};  ///< Time to open a connection.
     std::vector<std::string> asked;
-    std::vector<arrival> arrived;        ///< Those of `asked`, in their order.
-    std::vector<std::string> unreached;  ///< Requests whose connection wasn't there in time.
+    std::vector<arrival> arrived;        ///< In the order of `asked`.
+    std::vector<std::string> unreached;  ///< Requests whose connection was not opened in time.
     std::vector<beginning> begun;
 
   private:
     static constexpr base::duration tick = std::chrono::milliseconds(1);
-    static constexpr base::duration never = std::chrono::hours(1);  ///< Beyond any run.
+    static constexpr base::duration never = std::chrono::hours(1);  ///< Longer than any test runs.
 
     struct queue_place {
         bool decided = false;
         bool begun = false;
         std::optional<base::monotonic_time> closed_at;
     };
-    /// The connection ends with the exchange.
+    /// Closes the connection at the end of the exchange.
     struct leave_queue {
         runtime::scheduler& scheduler;
         std::shared_ptr<queue_place> place;
@@ -190,7 +191,7 @@
     static bool begins_in_time(const queueing_engine& engine, base::duration allowed) {
         return engine.wait < allowed;
     }
-    /// @return from a request's arrival until its engine begins with it or refuses it.
+    /// @return the time from a request's arrival until its engine starts or refuses it.
     static base::duration decides_after(const queueing_engine& engine, base::duration allowed) {
         const bool begins = begins_in_time(engine, allowed);
         const base::duration end = engine.refuses_at_end ? allowed : never;
@@ -244,9 +245,9 @@
 
 static_assert(upstream<queueing_upstream>);
 
-/// A router before engines of one pool that run the model `m`. Version 1 is what they have.
+/// A router in front of engines of one pool that run version 1 of the model `m`.
 struct queueing_router {
-    /// How long requests may begin on weights after newer ones were named.
+    /// How long after newer weights were announced requests may still begin on older ones.
     static constexpr base::duration allowed = std::chrono::seconds(8);
 
     bench::simulation::virtual_time time;
@@ -257,16 +258,16 @@
     core::placement::warm_state warm;
     core::placement::engine_load_view loads;
     engine_selection selection{registry, policies, warm, loads, selection_of()};
-    /// Its engines live on, whatever breaks; used only where the router holds requests back.
+    /// Its probe never confirms a crash. Used only with `holds_back`.
     request_quarantine quarantine{
         scheduler, [](base::endpoint) -> runtime::task<bool> { co_return false; }, {}};
-    std::map<std::string, relay_outcome> outcomes;  ///< By their requests' ids.
+    std::map<std::string, relay_outcome> outcomes;  ///< By request id.
     relay_service<queueing_upstream> service;
     std::vector<std::unique_ptr<recorded_writer>> writers;
     base::monotonic_time named_at{};
 
-    /// @param engines by their names. @param seed of the run.
-    /// @param holds_back requests under which engines end.
+    /// @param engines by name. @param seed of the simulation.
+    /// @param holds_back whether the router quarantines requests that crash engines.
     explicit queueing_router(std::map<std::string, queueing_engine> engines, std::uint64_t seed = 1,
                              bool holds_back = false)
         : time(seed),
@@ -305,14 +306,14 @@
         return settings;
     }
 
-    /// New weights are named now.
+    /// Announces a new weights version now.
     void name_weights(std::uint64_t version) {
         named_at = scheduler.now();
         policies.confirm(named_at);
         policies.name_version("m", version);
     }
     void run_for(base::duration span) { time.run_until(time.now() + span); }
-    /// @return a stream's request that comes now. @param path of the route.
+    /// @return a request that arrives now. @param path of the route.
     relay_call call_of(const std::string& path, std::uint64_t input_tokens,
                        std::uint64_t output_tokens) const {
         relay_call call;
@@ -327,8 +328,7 @@
             "m", {{call.id.value, input_tokens}}, input_tokens, output_tokens};
         return call;
     }
-    /// A caller sends a stream's request now. @param path of the route. @param body by which
-    /// repeats of one request are known.
+    /// Sends a request now. @param path of the route. @param body identifies repeats of a request.
     void send(const std::string& path, std::uint64_t input_tokens, std::uint64_t output_tokens,
               std::string body = {}) {
         relay_call call = call_of(path, input_tokens, output_tokens);
@@ -337,7 +337,8 @@
         writers.push_back(std::make_unique<recorded_writer>(scheduler));
         scheduler.spawn("call", service.handle(std::move(call), *writers.back()));
     }
-    /// @return the longest time from the naming to a beginning on older weights.
+    /// @return the longest time from the announcement of newer weights until a request began on
+    /// older ones.
     base::duration latest_outdated() const {
         base::duration latest{};
         for (const beginning& one : upstream.begun) {
--- a/test/relay/relay_plan_test.cpp
+++ b/test/relay/relay_plan_test.cpp
@@ -1,4 +1,5 @@
-/// What routes allow their requests, and what failed dispatches say of engines, row by row.
+/// Limits that follow from a request's route, and how failed dispatches are recorded against
+/// engines.
 #include "ferryroad/relay/relay_plan.hpp"
 
 #include <criterion/criterion.h>
@@ -38,7 +39,7 @@
     }
 }
 
-Test(relay_plan, runs_are_limited_by_the_route_and_proofs_allow_a_few_more) {
+Test(relay_plan, executions_are_limited_by_the_route_and_dispatches_may_exceed_them) {
     core::traffic::route on;
     on.attempts = 2;
     relay_plan plan;
@@ -51,33 +52,34 @@
     cr_assert_not(limits.stale_target_is_free);
 }
 
-Test(relay_plan, a_refusal_passes_the_engine_over_longer_where_it_is_loading) {
+Test(relay_plan, the_backoff_after_a_refusal_is_longer_if_the_engine_is_loading) {
     const driver_tunables tunables;
     for (const bool outdated : {false, true}) {
         known_engine engine;
-        blame(engine, failure(failure_kind::overloaded), outdated, tunables, start);
-        const auto pause = outdated ? tunables.loading_pause : tunables.refusal_pause;
+        record_dispatch_failure(engine, failure(failure_kind::overloaded), outdated, tunables,
+                                start);
+        const auto pause = outdated ? tunables.loading_backoff : tunables.refusal_backoff;
         cr_assert(engine.refuses_until == start + pause);
         cr_assert_not(engine.health.suspended(start));
     }
 }
 
-Test(relay_plan, another_process_at_the_address_is_passed_over_and_other_weights_are_not) {
+Test(relay_plan, another_process_at_the_address_causes_a_backoff_and_other_weights_do_not) {
     known_engine engine;
-    blame(engine, failure(failure_kind::stale_target, 4), false, {}, start);
+    record_dispatch_failure(engine, failure(failure_kind::stale_target, 4), false, {}, start);
     cr_assert(engine.refuses_until <= start);
-    blame(engine, failure(failure_kind::stale_target), false, {}, start);
+    record_dispatch_failure(engine, failure(failure_kind::stale_target), false, {}, start);
     cr_assert(engine.refuses_until > start);
 }
 
-Test(relay_plan, what_the_request_is_to_blame_for_leaves_the_engine_alone) {
+Test(relay_plan, failures_caused_by_the_request_are_not_recorded_against_the_engine) {
     known_engine engine;
-    blame(engine, failure(failure_kind::rejected), true, {}, start);
+    record_dispatch_failure(engine, failure(failure_kind::rejected), true, {}, start);
     cr_assert(engine.refuses_until <= start);
     cr_assert_not(engine.health.suspended(start));
-    blame(engine, failure(failure_kind::withheld), true, {}, start);
+    record_dispatch_failure(engine, failure(failure_kind::withheld), true, {}, start);
     cr_assert(engine.refuses_until <= start);
     cr_assert_not(engine.health.suspended(start));
-    blame(engine, failure(failure_kind::unreachable), false, {}, start);
+    record_dispatch_failure(engine, failure(failure_kind::unreachable), false, {}, start);
     cr_assert(engine.health.suspended(start));
 }
--- a/test/relay/relay_service_test.cpp
+++ b/test/relay/relay_service_test.cpp
@@ -1,4 +1,5 @@
-/// What a caller gets, and what engines are sent, for each way in which exchanges end.
+/// Tests the response that a caller receives and the dispatches that engines receive for each way
+/// in which an exchange can end.
 #include "test/relay/fake_upstream.hpp"
 
 using namespace ferryroad;
@@ -31,37 +32,37 @@
     return one;
 }
 
-runtime::task<void> leave_once_open(relay_fixture& at) {
-    co_await at.loop.until([&at] { return *at.upstream.open_bodies == 1; });
-    at.writer.closed = true;
+runtime::task<void> disconnect_once_open(relay_fixture& fixture) {
+    co_await fixture.loop.until([&fixture] { return *fixture.upstream.open_bodies == 1; });
+    fixture.writer.closed = true;
 }
 
-runtime::task<void> take_key_away_once_sent(relay_fixture& at) {
-    co_await at.loop.until([&at] { return !at.upstream.dispatches.empty(); });
+runtime::task<void> revoke_key_once_dispatched(relay_fixture& fixture) {
+    co_await fixture.loop.until([&fixture] { return !fixture.upstream.dispatches.empty(); });
     auto changed = relay_fixture::declared(2);
     changed.tenants[0].keys = {"another"};
-    at.policies.offer(std::move(changed));
+    fixture.policies.offer(std::move(changed));
 }
 
-/// An answer on a connection that takes a while to open.
+/// @return an answer whose connection takes 20 ms to open.
 scripted_answer slowly_connected(scripted_answer one) {
     one.connecting = 20ms;
     return one;
 }
 
-runtime::task<void> list_anew_once_sent(relay_fixture& at, bool leaving) {
-    co_await at.loop.until([&at] { return !at.upstream.dispatches.empty(); });
-    listed_engine one = relay_fixture::listed(at.upstream.engines[0].c_str());
+runtime::task<void> register_again_once_dispatched(relay_fixture& fixture, bool leaving) {
+    co_await fixture.loop.until([&fixture] { return !fixture.upstream.dispatches.empty(); });
+    listed_engine one = relay_fixture::listed(fixture.upstream.engines[0].c_str());
     one.leaving = leaving;
-    at.registry.replace_all({one}, at.loop.scheduler.now());
+    fixture.registry.replace_all({one}, fixture.loop.scheduler.now());
 }
 
-void serve_with(relay_fixture& at, relay_service<fake_upstream>& service, relay_call one) {
-    at.loop.context.restart();
+void serve_with(relay_fixture& fixture, relay_service<fake_upstream>& service, relay_call one) {
+    fixture.loop.context.restart();
     const auto served = [&]() -> runtime::task<void> {
-        co_await service.handle(std::move(one), at.writer);
+        co_await service.handle(std::move(one), fixture.writer);
     };
-    cr_assert(at.loop.run(served));
+    cr_assert(fixture.loop.run(served));
 }
 
 std::string header(const recorded_writer& writer, std::string_view name) {
@@ -70,7 +71,7 @@
 
 }  // namespace
 
-Test(relay_service, passes_a_whole_answer_on_unchanged) {
+Test(relay_service, forwards_a_whole_answer_unchanged) {
     relay_fixture fixture;
     fixture.answer(whole(200, "hello"));
     fixture.serve(fixture.call("/unsafe/"));
@@ -81,7 +82,7 @@
     cr_assert_str_eq(fixture.upstream.dispatches[0].tenant->value.c_str(), "t");
 }
 
-Test(relay_service, passes_events_on_and_ends_only_with_the_engine) {
+Test(relay_service, forwards_events_and_ends_only_with_the_engines_stream) {
     relay_fixture fixture;
     fixture.answer(stream({bytes(event(1) + "id: 2\n"), bytes("data: x\n\n"), body_end}));
     fixture.serve(fixture.call("/stream/"));
@@ -99,7 +100,7 @@
     cr_assert_eq(fixture.writer.final_answers, 0);
 }
 
-Test(relay_service, half_an_event_at_the_end_is_a_break) {
+Test(relay_service, a_stream_that_ends_within_an_event_is_broken) {
     relay_fixture fixture;
     fixture.answer(stream({bytes(event(1) + "id: 2\nda"), body_end}));
     fixture.serve(fixture.call("/stream/"));
@@ -107,7 +108,7 @@
     cr_assert(fixture.writer.body == event(1));
 }
 
-Test(relay_service, a_resumable_stream_goes_on_elsewhere_in_the_same_answer) {
+Test(relay_service, a_resumable_stream_continues_at_another_engine_in_the_same_response) {
     relay_fixture fixture;
     fixture.answer(stream({bytes(event(1) + event(2) + "id: 3\n"), body_broken}, "first"));
     fixture.answer(stream({bytes(event(3)), bytes(event(4)), body_end}, "second"));
@@ -120,7 +121,7 @@
     cr_assert_eq(fixture.upstream.dispatches[1].resume_after, 2U);
 }
 
-Test(relay_service, events_out_of_order_are_a_break) {
+Test(relay_service, events_out_of_order_break_the_stream) {
     for (const std::uint64_t wrong : {1U, 3U}) {
         relay_fixture fixture;
         fixture.answer(stream({bytes(event(1) + event(wrong)), body_end}));
@@ -130,7 +131,7 @@
     }
 }
 
-Test(relay_service, a_caller_that_resumes_gets_what_follows) {
+Test(relay_service, a_resuming_caller_gets_the_following_events) {
     relay_fixture fixture;
     fixture.answer(stream({bytes(event(8)), body_end}));
     relay_call call = fixture.call("/resumable/");
@@ -140,11 +141,11 @@
     cr_assert(fixture.writer.body == event(8));
 }
 
-Test(relay_service, a_stream_that_ends_without_an_event_keeps_the_engines_head) {
+Test(relay_service, a_stream_without_events_keeps_the_engines_status_and_headers) {
     relay_fixture fixture;
     fixture.answer(stream({body_end}));
     relay_call call = fixture.call("/resumable/");
-    call.last_event_id = 7;  // The last one that there was.
+    call.last_event_id = 7;  // The last event of the stream.
     fixture.serve(std::move(call));
     cr_assert_eq(fixture.writer.status, 200);
     cr_assert(header(fixture.writer, "X-Response-Signature") == "sig");
@@ -152,7 +153,7 @@
     cr_assert_eq(fixture.writer.final_answers, 1);
 }
 
-Test(relay_service, what_may_not_be_repeated_is_sent_once_unless_proven_not_run) {
+Test(relay_service, an_unrepeatable_request_that_may_have_run_is_not_retried) {
     relay_fixture fixture;
     fixture.answer(fails(failure_kind::broken, failure_proof::unknown));
     fixture.serve(fixture.call("/unsafe/"));
@@ -161,7 +162,7 @@
     cr_assert(header(fixture.writer, "Retry-After").empty());
 }
 
-Test(relay_service, a_proven_refusal_is_tried_elsewhere) {
+Test(relay_service, a_request_that_did_not_run_is_retried_at_another_engine) {
     relay_fixture fixture;
     fixture.answer(fails(failure_kind::overloaded, failure_proof::not_run));
     fixture.answer(whole(200, "ok"));
@@ -170,7 +171,7 @@
     cr_assert_neq(fixture.upstream.engines[0], fixture.upstream.engines[1]);
 }
 
-Test(relay_service, a_refusal_says_not_run_and_when_to_come_back) {
+Test(relay_service, a_request_that_did_not_run_gets_503_and_retry_after) {
     relay_fixture fixture;
     fixture.answer(fails(failure_kind::overloaded, failure_proof::not_run));
     fixture.answer(fails(failure_kind::overloaded, failure_proof::not_run));
@@ -179,7 +180,7 @@
     cr_assert(!header(fixture.writer, "Retry-After").empty());
 }
 
-Test(relay_service, a_mixed_history_makes_no_promise) {
+Test(relay_service, a_request_that_may_have_run_before_a_refusal_gets_502) {
     relay_fixture fixture;
     fixture.answer(fails(failure_kind::broken, failure_proof::unknown));
     fixture.answer(fails(failure_kind::overloaded, failure_proof::not_run));
@@ -187,7 +188,7 @@
     cr_assert_eq(fixture.writer.status, 502);
 }
 
-Test(relay_service, an_engines_own_failure_is_tried_again_where_it_may_and_passed_on_at_last) {
+Test(relay_service, an_engine_error_is_retried_if_repeatable_and_the_last_one_forwarded) {
     relay_fixture fixture;
     fixture.answer(whole(500, "bad"));
     fixture.answer(whole(500, "worse"));
@@ -197,7 +198,7 @@
     cr_assert_str_eq(fixture.writer.body.c_str(), "worse");
 }
 
-Test(relay_service, an_engines_own_failure_of_what_may_not_be_repeated_is_passed_on) {
+Test(relay_service, an_engine_error_is_forwarded_if_not_repeatable) {
     relay_fixture fixture;
     fixture.answer(whole(500, "bad"));
     fixture.serve(fixture.call("/unsafe/"));
@@ -214,7 +215,7 @@
     cr_assert_eq(fixture.upstream.dispatches.size(), 2);
 }
 
-Test(relay_service, a_silent_engine_is_answered_for_at_the_routes_timeout) {
+Test(relay_service, a_request_to_a_silent_engine_gets_504_at_the_routes_timeout) {
     relay_fixture fixture;
     const auto began = fixture.loop.scheduler.now();
     fixture.serve(fixture.call("/unsafe/"));
@@ -223,7 +224,7 @@
     cr_assert_eq(fixture.upstream.dispatches.size(), 1);
 }
 
-Test(relay_service, a_silent_engine_is_left_for_another_where_the_request_may_be_repeated) {
+Test(relay_service, a_repeatable_request_is_retried_if_its_engine_is_silent) {
     relay_fixture fixture;
     fixture.answer(stream({bytes(event(1)), body_silence}));
     fixture.answer(stream({bytes(event(2)), body_end}));
@@ -232,7 +233,7 @@
     cr_assert_eq(*fixture.upstream.open_bodies, 0);
 }
 
-Test(relay_service, an_engine_that_reads_a_long_prompt_may_be_silent_longer) {
+Test(relay_service, the_silence_limit_includes_the_prefill_time) {
     relay_fixture fixture;
     for (const std::uint64_t tokens : {std::uint64_t{100}, std::uint64_t{2100}}) {
         fixture.loop.context.restart();
@@ -245,10 +246,10 @@
     cr_assert(longer > 99ms && longer < 101ms);
 }
 
-Test(relay_service, a_caller_that_leaves_ends_the_engines_work) {
+Test(relay_service, a_caller_that_disconnects_cancels_the_exchange) {
     relay_fixture fixture;
     fixture.answer(stream({bytes(event(1)), body_silence}));
-    fixture.loop.scheduler.spawn("leave", leave_once_open(fixture));
+    fixture.loop.scheduler.spawn("leave", disconnect_once_open(fixture));
     fixture.serve(fixture.call("/stream/"));
     cr_assert_eq(*fixture.upstream.open_bodies, 0);
     cr_assert_eq(fixture.writer.final_answers, 0);
@@ -272,7 +273,7 @@
     const char* name;
     const char* path;
     const char* key;
-    base::duration age;  ///< Of the policy's confirmation.
+    base::duration age;  ///< Time since the policy was confirmed.
     unsigned status;
 };
 const unresolved_row unresolved_rows[] = {
@@ -283,7 +284,7 @@
     {"keys not confirmed", "/safe/", "key", 3500ms, 503},
 };
 
-Test(relay_service, calls_that_fit_no_route_or_key) {
+Test(relay_service, requests_without_a_matching_route_or_key_are_refused) {
     for (const unresolved_row& row : unresolved_rows) {
         relay_fixture fixture;
         policy_source& policies = fixture.policies;
@@ -306,22 +307,22 @@
     cr_assert(!header(fixture.writer, "Retry-After").empty());
 }
 
-Test(relay_service, a_key_taken_away_while_a_retry_waits_stops_to_hold) {
+Test(relay_service, a_key_revoked_before_a_retry_is_not_accepted) {
     relay_fixture fixture;
     scripted_answer refused = fails(failure_kind::overloaded, failure_proof::not_run);
     refused.delay = 20ms;
     fixture.answer(std::move(refused));
     fixture.answer(whole(200, "ok"));
-    fixture.loop.scheduler.spawn("revoke", take_key_away_once_sent(fixture));
+    fixture.loop.scheduler.spawn("revoke", revoke_key_once_dispatched(fixture));
     fixture.serve(fixture.call("/unsafe/"));
     cr_assert_eq(fixture.upstream.dispatches.size(), 1);
     cr_assert_eq(fixture.writer.status, 503);
 }
 
-Test(relay_service, a_key_taken_away_while_a_connection_is_opened_stops_to_hold) {
+Test(relay_service, a_key_revoked_while_a_connection_is_opened_is_not_accepted) {
     relay_fixture fixture;
     fixture.answer(slowly_connected(whole(200, "ok")));
-    fixture.loop.scheduler.spawn("revoke", take_key_away_once_sent(fixture));
+    fixture.loop.scheduler.spawn("revoke", revoke_key_once_dispatched(fixture));
     fixture.serve(fixture.call("/unsafe/"));
     cr_assert_eq(fixture.writer.status, 503);
     cr_assert_not(header(fixture.writer, "Retry-After").empty());
@@ -330,15 +331,15 @@
     cr_assert(fixture.upstream.looks.at(0).lost == dispatch_ground::key);
 }
 
-Test(relay_service, an_engine_that_leaves_while_a_connection_is_opened_is_not_to_blame) {
+Test(relay_service, an_engine_that_shuts_down_while_a_connection_is_opened_has_not_failed) {
     relay_fixture fixture;
     relay_settings settings = relay_fixture::settings_of();
-    settings.retries = {0.0, 0};  // Nothing was sent: that takes nothing of the budget.
+    settings.retries = {0.0, 0};  // No retry is allowed, and none is needed, as nothing is sent.
     fixture.service.change_settings(settings);
     fixture.registry.replace_all({relay_fixture::listed("e1")}, fixture.loop.scheduler.now());
     fixture.releases.engines_changed(fixture.loop.scheduler.now());
     fixture.answer(slowly_connected(whole(200, "ok")));
-    fixture.loop.scheduler.spawn("leave", list_anew_once_sent(fixture, true));
+    fixture.loop.scheduler.spawn("leave", register_again_once_dispatched(fixture, true));
     fixture.serve(fixture.call("/unsafe/"));
     cr_assert_eq(fixture.writer.status, 503);
     cr_assert(fixture.upstream.looks.at(0).lost == dispatch_ground::engine_stays);
@@ -348,7 +349,7 @@
     cr_assert_eq(engine->running, 0);
 }
 
-Test(relay_service, what_was_not_sent_goes_to_another_engine_without_a_retry_of_the_budget) {
+Test(relay_service, an_unsent_dispatch_goes_to_another_engine_without_using_the_retry_budget) {
     for (const char* path : {"/unsafe/", "/safe/", "/stream/", "/resumable/"}) {
         relay_fixture fixture;
         relay_settings settings = relay_fixture::settings_of();
@@ -378,7 +379,7 @@
     }
 }
 
-Test(relay_service, the_time_left_is_counted_once_the_connection_is_there) {
+Test(relay_service, the_time_left_is_computed_once_the_connection_is_open) {
     relay_fixture fixture;
     fixture.answer(slowly_connected(whole(200, "ok")));
     fixture.serve(fixture.call("/unsafe/"));
@@ -389,7 +390,7 @@
 
 namespace {
 
-/// A service whose tenant has a limit, and what was counted.
+/// A service whose tenant has a quota; records the amounts counted.
 struct limited_fixture : relay_fixture {
     std::vector<double> counted;
     quotas::quota_decision decided;
@@ -419,7 +420,7 @@
 
 }  // namespace
 
-Test(relay_service, what_is_over_the_limit_is_refused_and_never_sent) {
+Test(relay_service, a_request_over_quota_is_refused_and_never_sent) {
     limited_fixture fixture;
     fixture.decided.verdict = {false, 250ms, 7};
     relay_call call = fixture.call("/unsafe/");
@@ -432,7 +433,7 @@
     cr_assert(fixture.outcomes.at(0).refusal->cause == refusal_cause::over_quota);
 }
 
-Test(relay_service, what_tells_no_tokens_counts_as_declared) {
+Test(relay_service, a_request_without_declared_tokens_counts_the_tenants_default) {
     limited_fixture fixture;
     fixture.decided.verdict = {true, {}, 7};
     fixture.answer(whole(200, "hello"));
@@ -441,18 +442,18 @@
     cr_assert_eq(fixture.counted.at(0), 200);
 }
 
-Test(relay_service, streams_are_shed_while_engines_are_short_and_only_streams) {
+Test(relay_service, only_streams_are_shed_while_engines_are_overloaded) {
     relay_fixture fixture;
     for (int request = 0; request < 60; ++request) {
         scripted_answer late = stream({bytes(event(1)), body_end});
-        late.delay = 25ms;  // Of a target of 30 ms, below.
+        late.delay = 25ms;  // Close to the target latency of 30 ms set below.
         fixture.answer(std::move(late));
     }
-    auto hurried = relay_fixture::declared(2);
-    for (core::traffic::route& one : hurried.routes) {
+    auto short_latencies = relay_fixture::declared(2);
+    for (core::traffic::route& one : short_latencies.routes) {
         one.target_latency = 30ms;
     }
-    fixture.policies.offer(std::move(hurried));
+    fixture.policies.offer(std::move(short_latencies));
     std::size_t shed = 0;
     for (int request = 0; request < 40; ++request) {
         fixture.loop.context.restart();
@@ -477,7 +478,7 @@
     cr_assert_eq(fixture.writer.status, 200);
 }
 
-Test(relay_service, a_leaving_router_refuses_at_once) {
+Test(relay_service, a_router_that_shuts_down_refuses_requests) {
     relay_fixture fixture;
     fixture.service.refuse_new();
     fixture.serve(fixture.call("/safe/"));
@@ -502,9 +503,10 @@
                  fixture.upstream.dispatches.size());
 }
 
-/// While a rollout's orders reach engines, several of them refuse within a second: each request
-/// goes on at another engine, as those before it needed no retry.
-Test(relay_service, refusals_in_a_row_are_retried_from_what_quiet_requests_saved) {
+/// While a rollout's orders reach the engines, several of them refuse requests within a second.
+/// Each refused request is retried at another engine, since earlier requests left retries in the
+/// budget.
+Test(relay_service, consecutive_refusals_are_retried_from_unused_budget) {
     relay_fixture fixture;
     relay_settings settings = relay_fixture::settings_of();
     settings.retries = {0.15, 1.5, 10s};
@@ -566,7 +568,7 @@
     }
 }
 
-Test(relay_service, a_request_for_a_canary_that_takes_none_goes_to_the_version_in_force) {
+Test(relay_service, a_request_goes_to_the_current_version_if_no_canary_is_available) {
     relay_fixture fixture;
     fixture.begin_trial();
     fixture.registry.find(base::engine_name("n1"))->refuses_until =
@@ -581,7 +583,7 @@
     cr_assert_eq(fixture.releases.find(base::pool_name("p"))->exposed, 0);
 }
 
-Test(relay_service, a_canary_that_leaves_while_a_connection_is_opened_counts_for_nothing) {
+Test(relay_service, a_canary_that_shuts_down_while_a_connection_is_opened_is_not_counted) {
     relay_fixture fixture;
     fixture.begin_trial();
     const auto leave = [&fixture](const base::engine_name& chosen, const auto&, std::uint64_t) {
--- a/test/relay/request_quarantine_test.cpp
+++ b/test/relay/request_quarantine_test.cpp
@@ -1,4 +1,4 @@
-/// Requests that end engines are held back by a router's request path, and others are not.
+/// Requests that crash engines are quarantined by the relay service, and others are not.
 #include "ferryroad/relay/request_quarantine.hpp"
 
 #include "test/relay/fake_upstream.hpp"
@@ -16,31 +16,32 @@
 
 namespace {
 
-/// A service that holds requests back; every engine that breaks an exchange has ended, or none.
+/// A service with a quarantine. `engines_end` says whether engines refuse connections after a
+/// broken exchange.
 struct quarantine_fixture : relay_fixture {
     static quarantine_settings settings_of_quarantine() {
         quarantine_settings settings;
-        settings.gather = 1ms;
+        settings.gather_time = 1ms;
         settings.suspects.settle = 20ms;
         return settings;
     }
 
-    bool engines_end = true;
+    bool engines_crash = true;
     request_quarantine quarantine{
-        loop.scheduler, [this](base::endpoint) -> runtime::task<bool> { co_return engines_end; },
+        loop.scheduler, [this](base::endpoint) -> runtime::task<bool> { co_return engines_crash; },
         settings_of_quarantine()};
-    relay_service<fake_upstream> holding{
+    relay_service<fake_upstream> quarantining_service{
         {loop.scheduler, upstream, registry, selection, policies, {}, {}, nullptr, &quarantine},
         settings_of(),
         [this](const relay_plan&, const relay_outcome& told) { outcomes.push_back(told); }};
 
-    /// @return the status, once an engine under the same name would be the next process.
+    /// @return the status, after so long that a further crash of the same engine counts as another.
     unsigned send(const std::string& path, const std::string& body) {
         relay_call one = call(path);
         one.message.body = body;
         loop.context.restart();
         cr_assert(loop.run([&]() -> runtime::task<void> {
-            co_await holding.handle(std::move(one), writer);
+            co_await quarantining_service.handle(std::move(one), writer);
             co_await loop.scheduler.sleep_for(core::quarantine::crash_slack + 50ms);
         }));
         return writer.status;
@@ -55,17 +56,17 @@
         restart_engines();
     }
     void send_as_the_row_lapses() {
-        breaks();
-        loop.scheduler.spawn("lapse", lapse_soon());
+        script_break();
+        loop.scheduler.spawn("lapse", lapse_registration_soon());
         send("/unsafe/", "lost answer");
     }
-    runtime::task<void> lapse_soon() {
+    runtime::task<void> lapse_registration_soon() {
         co_await loop.scheduler.sleep_for(5ms);
         registry.replace_all({}, loop.scheduler.now());
         registry.replace_all({listed("e1"), listed("e2")}, loop.scheduler.now());
     }
     void send_as_the_engine_restarts() {
-        breaks();
+        script_break();
         loop.scheduler.spawn("restart", restart_soon());
         send("/unsafe/", "in progress at the end");
     }
@@ -77,25 +78,25 @@
         co_await loop.scheduler.sleep_for(5ms);
         registry.replace_all({}, loop.scheduler.now());
     }
-    void breaks() {
+    void script_break() {
         scripted_answer broken;
         broken.failure = failure(failure_kind::broken, failure_proof::unknown);
         broken.delay = 15ms;
         answer(std::move(broken));
     }
-    /// As on a connection to an engine that has just ended.
-    void breaks_at_once() {
+    /// As on a pooled connection to an engine that has just terminated.
+    void script_immediate_break() {
         scripted_answer broken;
         broken.failure = failure(failure_kind::broken, failure_proof::unknown);
         answer(std::move(broken));
     }
-    void answers() {
+    void script_answer() {
         scripted_answer good;
         good.stream = false;
         good.body = {bytes("ok"), body_end};
         answer(std::move(good));
     }
-    /// Engines are back, and trusted.
+    /// Registers both engines again, as new processes without recorded failures.
     void restart_engines() {
         registry.replace_all({}, loop.scheduler.now());
         listed_engine first = listed("e1");
@@ -108,11 +109,11 @@
 
 }  // namespace
 
-Test(request_quarantine, two_engines_ended_are_enough_and_the_answer_is_a_promise) {
+Test(request_quarantine, two_crashes_quarantine_a_request_which_is_then_refused_as_not_run) {
     quarantine_fixture fixture;
     for (int crash = 0; crash < 2; ++crash) {
-        fixture.breaks();
-        cr_assert_eq(fixture.send("/unsafe/", "bad"), 502, "it may have run");
+        fixture.script_break();
+        cr_assert_eq(fixture.send("/unsafe/", "bad"), 502, "the request may have run");
         fixture.restart_engines();
         fixture.loop.context.restart();
     }
@@ -120,14 +121,14 @@
     cr_assert_eq(fixture.send("/unsafe/", "bad"), 503);
     cr_assert_eq(fixture.upstream.dispatches.size(), sent, "nothing was sent");
     cr_assert(fixture.writer.headers.find("Retry-After").has_value());
-    fixture.answers();
+    fixture.script_answer();
     cr_assert_eq(fixture.send("/unsafe/", "another body"), 200);
 }
 
-Test(request_quarantine, a_repeatable_one_is_not_sent_on_after_its_second_engine) {
+Test(request_quarantine, a_repeatable_request_is_not_retried_after_its_second_crash) {
     quarantine_fixture fixture;
-    fixture.breaks();
-    fixture.breaks();
+    fixture.script_break();
+    fixture.script_break();
     cr_assert_eq(fixture.send("/safe/", "bad"), 502);
     cr_assert_eq(fixture.upstream.dispatches.size(), 2);
     fixture.restart_engines();
@@ -135,44 +136,44 @@
     cr_assert_eq(fixture.upstream.dispatches.size(), 2);
 }
 
-Test(request_quarantine, a_suspect_that_breaks_again_is_not_repeated_in_the_same_attempt) {
+Test(request_quarantine, a_suspect_whose_exchange_breaks_again_is_not_retried) {
     quarantine_fixture fixture;
-    fixture.breaks();
-    fixture.answers();
+    fixture.script_break();
+    fixture.script_answer();
     cr_assert_eq(fixture.send("/safe/", "lucky"), 200, "a first break is retried");
-    fixture.breaks();
+    fixture.script_break();
     fixture.send("/unsafe/", "bad");
     fixture.restart_engines();
-    fixture.breaks();
-    fixture.answers();
+    fixture.script_break();
+    fixture.script_answer();
     fixture.send("/unsafe/", "bad");
     cr_assert_eq(fixture.upstream.dispatches.size(), 4);
 }
 
-Test(request_quarantine, engines_that_live_on_after_broken_exchanges_say_nothing_of_a_request) {
+Test(request_quarantine, broken_exchanges_without_a_crash_do_not_quarantine) {
     quarantine_fixture fixture;
-    fixture.engines_end = false;
+    fixture.engines_crash = false;
     for (int repeat = 0; repeat < 5; ++repeat) {
-        fixture.breaks();
+        fixture.script_break();
         cr_assert_eq(fixture.send("/unsafe/", "lost answers"), 502);
         fixture.restart_engines();
     }
     cr_assert_eq(fixture.quarantine.counters().crashes_seen, 0);
 }
 
-Test(request_quarantine, what_came_too_late_to_have_run_says_little) {
+Test(request_quarantine, breaks_too_soon_for_the_request_to_have_run_do_not_quarantine) {
     quarantine_fixture fixture;
     for (int repeat = 0; repeat < 3; ++repeat) {
-        fixture.breaks_at_once();
+        fixture.script_immediate_break();
         cr_assert_eq(fixture.send("/unsafe/", "late"), 502);
         fixture.restart_engines();
     }
     cr_assert_eq(fixture.quarantine.counters().crashes_seen, 3);
-    fixture.answers();
+    fixture.script_answer();
     cr_assert_eq(fixture.send("/unsafe/", "late"), 200);
 }
 
-Test(request_quarantine, an_engine_that_leaves_ends_under_nothing) {
+Test(request_quarantine, an_engine_that_shuts_down_is_not_a_crash) {
     quarantine_fixture fixture;
     for (int repeat = 0; repeat < 4; ++repeat) {
         fixture.send_as_the_engine_leaves();
@@ -180,9 +181,9 @@
     cr_assert_eq(fixture.quarantine.counters().crashes_seen, 0);
 }
 
-Test(request_quarantine, a_row_that_lapses_and_comes_back_is_no_end) {
+Test(request_quarantine, a_registration_that_lapses_and_is_renewed_is_not_a_crash) {
     quarantine_fixture fixture;
-    fixture.engines_end = false;
+    fixture.engines_crash = false;
     for (int repeat = 0; repeat < 4; ++repeat) {
         fixture.send_as_the_row_lapses();
     }
@@ -190,9 +191,9 @@
     cr_assert_eq(fixture.quarantine.counters().breaks_unconfirmed, 4);
 }
 
-Test(request_quarantine, an_engine_that_is_back_under_its_name_ended) {
+Test(request_quarantine, an_engine_that_restarts_under_its_name_has_crashed) {
     quarantine_fixture fixture;
-    fixture.engines_end = false;  // Its address takes connections again.
+    fixture.engines_crash = false;  // The address accepts connections again.
     fixture.restart_engines();
     fixture.send_as_the_engine_restarts();
     cr_assert_eq(fixture.quarantine.counters().crashes_seen, 1);
--- a/test/relay/withdrawal_races_test.cpp
+++ b/test/relay/withdrawal_races_test.cpp
@@ -1,8 +1,8 @@
-/// A request that waits at an engine whose weights become too old is withdrawn, and sent elsewhere
-/// where the rules allow. At the same moment the engine may begin with it, refuse it, or lose its
-/// connection, its caller may leave and its time may end. Each seed draws engines, requests and
-/// namings with such moments a few milliseconds around each other, in every order; whatever the
-/// order, what the router owes to callers, engines and operators holds.
+/// A request that waits at an engine whose weights become too old is withdrawn, and retried at
+/// another engine if its route allows that. At the same time the engine may begin or refuse the
+/// request, the connection may break, the caller may disconnect, or the deadline may pass. Each
+/// seed generates engines, requests and announcements of new weights such that these events are a
+/// few milliseconds apart, in varying order, and checks invariants that must hold in any order.
 #include "ferryroad/base/random.hpp"
 #include "test/relay/queueing_upstream.hpp"
 
@@ -17,15 +17,15 @@
 namespace {
 
 constexpr std::uint64_t seeds = 600;
-/// Milliseconds around a moment within which others are drawn: the order of events counts there.
-constexpr std::uint64_t close_by = 3;
-/// From a router's last look at its deadline to the end of the coroutine that looks.
+/// Events are placed within so many milliseconds of each other, so that their order varies.
+constexpr std::uint64_t max_offset_ms = 3;
+/// From the router's last check of a deadline to the end of the coroutine that checks it.
 constexpr base::duration answer_slack = 5ms;
-/// Longer than any answer goes on after its request came.
+/// Longer than any request takes from its arrival to the end of its answer.
 constexpr base::duration longest_request = 25s;
 constexpr base::duration route_timeout = 10s;
 
-/// Its caller may leave. Used from the scheduler's thread.
+/// A response writer whose caller may disconnect. Used from the scheduler's thread.
 class leaving_writer final : public recorded_writer {
   public:
     leaving_writer(runtime::scheduler& scheduler, std::optional<base::monotonic_time> leaves_at)
@@ -42,7 +42,7 @@
     std::optional<base::monotonic_time> m_leaves_at;
 };
 
-/// One caller and what it got.
+/// One caller, its request and its response.
 struct caller {
     std::string id;
     std::string path;
@@ -55,26 +55,26 @@
     bool is_stream() const { return path == "/stream/" || path == "/resumable/"; }
 };
 
-struct naming {
+struct announcement {
     std::uint64_t version = 0;
     base::monotonic_time at{};
-    base::duration learnt_after{};  ///< By the router.
+    base::duration learnt_after{};  ///< Until the router learns of it.
 };
 
-/// What happened over all seeds: a check of what never happens shows nothing.
+/// Counts of what happened over all seeds, to show that each checked case did occur.
 struct coverage {
     std::size_t withdrawn = 0;
-    std::size_t served_elsewhere = 0;    ///< After a withdrawal.
-    std::size_t refused_after = 0;       ///< The same, with 503.
-    std::size_t unknown_after = 0;       ///< The same, with 502.
-    std::size_t begun_all_the_same = 0;  ///< At an engine that it was withdrawn from.
-    std::size_t begun_outdated = 0;      ///< In time.
+    std::size_t served_elsewhere = 0;    ///< Got status 200 after a withdrawal.
+    std::size_t refused_after = 0;       ///< Got status 503 after a withdrawal.
+    std::size_t unknown_after = 0;       ///< Got status 502 after a withdrawal.
+    std::size_t begun_nevertheless = 0;  ///< Began at an engine that it was withdrawn from.
+    std::size_t begun_outdated = 0;      ///< Began on outdated weights.
     std::size_t left = 0;
     std::size_t broken_streams = 0;
     std::size_t repeated = 0;
 };
 
-/// One seed's run and its verdict.
+/// The simulation and checks of one seed.
 class race {
   public:
     explicit race(std::uint64_t seed) : m_random(seed), m_router(draw_engines(), seed) {
@@ -83,7 +83,7 @@
             return vary(engine, sent);
         };
         declare();
-        draw_namings();
+        draw_announcements();
         draw_weights();
         draw_callers();
     }
@@ -91,9 +91,9 @@
     race(const race&) = delete;
     race& operator=(const race&) = delete;
 
-    /// @return what broke a rule, a line each; empty where nothing did.
+    /// @return the violated invariants, one line each.
     std::vector<std::string> run(coverage& seen) {
-        m_router.time.run_until(m_last + longest_request);
+        m_router.time.run_until(m_last_arrival + longest_request);
         for (const caller& one : m_callers) {
             check_answer(one);
             check_runs(one);
@@ -101,13 +101,13 @@
         }
         check_outdated();
         check_retries();
-        check_books();
-        note(seen);
-        return m_faults;
+        check_no_leaks();
+        count_cases(seen);
+        return m_violations;
     }
 
   private:
-    // ---- Drawing ----
+    // ---- Generation ----
 
     bool chance(double share) { return m_random.unit() < share; }
     base::duration up_to(base::duration most) {
@@ -118,14 +118,15 @@
     T pick(const std::vector<T>& among) {
         return among[m_random.below(among.size())];
     }
-    /// @return a moment right before, at or right after another.
+    /// @return a time shortly before, at or shortly after another.
     base::monotonic_time around(base::monotonic_time moment) {
-        const auto offset = static_cast<int>(m_random.below(2 * close_by + 1));
-        return moment + std::chrono::milliseconds(offset - static_cast<int>(close_by));
+        const auto offset = static_cast<int>(m_random.below(2 * max_offset_ms + 1));
+        return moment + std::chrono::milliseconds(offset - static_cast<int>(max_offset_ms));
     }
-    /// @return one that a naming leads to: the router's limit, its end of waiting, the allowed one.
-    base::monotonic_time any_limit() {
-        const base::monotonic_time named = pick(m_namings).at;
+    /// @return a limit that follows from an announcement: the router's own limit, the end of its
+    /// wait for a refusal, or the latest time that is allowed.
+    base::monotonic_time draw_limit() {
+        const base::monotonic_time named = pick(m_announcements).at;
         const base::duration limit = outdated_limit_for(queueing_router::allowed);
         const base::duration refusal_wait = driver_tunables{}.refusal_wait;
         return named +
@@ -161,36 +162,37 @@
         m_router.time.at(when, m_router.scheduler.process(), std::move(work));
     }
 
-    void draw_namings() {
+    void draw_announcements() {
         const base::monotonic_time start = m_router.scheduler.now();
         const base::duration wait = chance(0.5) ? 1ms : 1ms + up_to(6s);
-        m_namings.push_back({2, start + wait, chance(0.6) ? base::duration{} : up_to(400ms)});
+        m_announcements.push_back({2, start + wait, chance(0.6) ? base::duration{} : up_to(400ms)});
         if (chance(0.3)) {
-            const base::monotonic_time second = m_namings[0].at + 500ms + up_to(6s);
-            m_namings.push_back({3, second, chance(0.6) ? base::duration{} : up_to(400ms)});
+            const base::monotonic_time second = m_announcements[0].at + 500ms + up_to(6s);
+            m_announcements.push_back({3, second, chance(0.6) ? base::duration{} : up_to(400ms)});
         }
-        for (const naming& one : m_namings) {
+        for (const announcement& one : m_announcements) {
             at(one.at, [this] {
                 confirm();
-                ++m_unlearnt;
+                ++m_unknown_announcements;
             });
             at(one.at + one.learnt_after, [this, one] {
                 m_router.policies.name_version("m", one.version);
-                --m_unlearnt;
+                --m_unknown_announcements;
             });
         }
     }
-    /// A copy of what operators declare is confirmed only where it has all.
+    /// A copy of the policy is confirmed only if it includes all announcements.
     void confirm() {
-        if (m_unlearnt == 0) {
+        if (m_unknown_announcements == 0) {
             m_router.policies.confirm(m_router.scheduler.now());
         }
     }
 
-    /// Some engines take the weights that were named, and the router may know it before it asks.
+    /// Some engines load the announced weights; the router may learn of it before its next
+    /// dispatch.
     void draw_weights() {
         for (const auto& [name, engine] : m_router.upstream.engines) {
-            for (const naming& one : m_namings) {
+            for (const announcement& one : m_announcements) {
                 if (chance(0.5)) {
                     continue;
                 }
@@ -217,34 +219,34 @@
             draw_caller(m_callers[index], "r" + std::to_string(index));
         }
     }
-    base::monotonic_time draw_coming() {
+    base::monotonic_time draw_arrival() {
         const base::monotonic_time start = m_router.scheduler.now();
         if (chance(0.1)) {
-            return std::max(start, around(pick(m_namings).at));
+            return std::max(start, around(pick(m_announcements).at));
         }
         if (chance(0.1)) {
-            return around(any_limit());
+            return around(draw_limit());
         }
-        const base::monotonic_time limit = any_limit();
+        const base::monotonic_time limit = draw_limit();
         const base::duration before = up_to(chance(0.5) ? 2s : 9s);
         return std::max(start, limit - before);
     }
     void draw_caller(caller& one, std::string id) {
         one.id = std::move(id);
         one.path = pick<std::string>({"/safe/", "/unsafe/", "/stream/", "/resumable/"});
-        one.sent_at = draw_coming();
+        one.sent_at = draw_arrival();
         const base::duration time_left = chance(0.6) ? route_timeout : 200ms + up_to(9s);
         one.deadline = one.sent_at + time_left;
         std::optional<base::monotonic_time> leaves_at;
         if (chance(0.2)) {
             const base::monotonic_time moment =
-                chance(0.4) ? around(any_limit()) : one.sent_at + up_to(time_left);
+                chance(0.4) ? around(draw_limit()) : one.sent_at + up_to(time_left);
             leaves_at = std::max(one.sent_at + 1ms, moment);
         }
         one.writer = std::make_unique<leaving_writer>(m_router.scheduler, leaves_at);
         const std::uint64_t input_tokens = pick<std::uint64_t>({300, 300, 5000, 42509});
         const std::uint64_t output_tokens = pick<std::uint64_t>({30, 30, 4000});
-        m_last = std::max(m_last, one.sent_at);
+        m_last_arrival = std::max(m_last_arrival, one.sent_at);
         at(one.sent_at, [this, &one, time_left, input_tokens, output_tokens] {
             relay_call call = m_router.call_of(one.path, input_tokens, output_tokens);
             call.id.value = one.id;
@@ -258,11 +260,12 @@
         one.ended_at = m_router.scheduler.now();
     }
 
-    /// @return from now to a moment around a limit or the caller's deadline, where that is ahead.
+    /// @return the time until shortly before or after a limit or the caller's deadline; nothing if
+    /// that is past.
     std::optional<base::duration> until_limit(const dispatch& sent) {
         const base::monotonic_time now = m_router.scheduler.now();
         const base::monotonic_time moment =
-            around(chance(0.2) ? now + sent.time_left : any_limit());
+            around(chance(0.2) ? now + sent.time_left : draw_limit());
         return moment > now ? std::optional(moment - now) : std::nullopt;
     }
 
@@ -291,7 +294,7 @@
 
     // ---- Checks ----
 
-    void fault(const std::string& what) { m_faults.push_back(what); }
+    void report_violation(const std::string& what) { m_violations.push_back(what); }
 
     std::size_t begins_of(const caller& one) const {
         const auto& begun = m_router.upstream.begun;
@@ -304,50 +307,54 @@
                              [&](const arrival& each) { return each.request == one.id; });
     }
 
-    /// One final answer or an aborted one, in time, and no event missing or doubled.
+    /// Each request gets exactly one response, complete or aborted, by its deadline, without
+    /// missing or duplicate events.
     void check_answer(const caller& one) {
         const leaving_writer& got = *one.writer;
         if (!one.ended_at || *one.ended_at > one.deadline + answer_slack) {
-            fault(one.id + " hangs past its deadline");
+            report_violation(one.id + " is not answered by its deadline");
         }
         if (got.final_answers + (got.aborted ? 1 : 0) != 1 || got.streams > 1) {
-            fault(one.id + " has no answer, or more than one");
+            report_violation(one.id + " has no response, or more than one");
         }
         if (got.aborted && got.streams == 0 && !got.leaves()) {
-            fault(one.id + " was cut without an answer");
+            report_violation(one.id + " was aborted without a response");
         }
         const std::string whole = event(1) + event(2);
         const bool complete = got.final_answers == 1 && got.streams == 1;
         if (complete && got.body != whole) {
-            fault(one.id + " ended as complete and is not");
+            report_violation(one.id + " looks complete and is not");
         }
         if (got.streams == 1 && whole.compare(0, got.body.size(), got.body) != 0) {
-            fault(one.id + " has events out of order");
+            report_violation(one.id + " has events out of order");
         }
     }
 
-    /// A request runs as often as its route allows, and never after an answer that it doesn't.
+    /// A request runs at most as often as its route allows, and not at all if its response says
+    /// that it has not run.
     void check_runs(const caller& one) {
         static const std::set<unsigned> not_run = {408, 421, 429, 503};
         const std::size_t begins = begins_of(one);
         if (!one.is_repeatable() && begins > 1) {
-            fault(one.id + " may not be repeated and began " + std::to_string(begins) + " times");
+            report_violation(one.id + " is not repeatable and began " + std::to_string(begins) +
+                             " times");
         }
         if (begins > m_attempts.at(one.path)) {
-            fault(one.id + " began more often than its route allows");
+            report_violation(one.id + " began more often than its route allows");
         }
         if (one.writer->final_answers == 1 && not_run.count(one.writer->status) == 1 &&
             begins > 0) {
-            fault(one.id + " got " + std::to_string(one.writer->status) + " and began");
+            report_violation(one.id + " got status " + std::to_string(one.writer->status) +
+                             " but began");
         }
     }
 
-    /// Dispatches are counted as they reached engines, or found no connection in time, but for one
-    /// that its caller or its deadline cut short.
+    /// The dispatches counted are those that reached an engine or timed out while connecting, and
+    /// possibly one more that was cut short by the caller or the deadline.
     void check_dispatches(const caller& one) {
         const auto found = m_router.outcomes.find(one.id);
         if (found == m_router.outcomes.end()) {
-            fault(one.id + " has no outcome");
+            report_violation(one.id + " has no outcome");
             return;
         }
         const relay_outcome& outcome = found->second;
@@ -357,17 +364,17 @@
         const bool cut = one.writer->leaves() || *one.ended_at >= one.deadline;
         const std::size_t most = arrivals + (cut ? 1 : 0);
         if (outcome.dispatches < arrivals || outcome.dispatches > most) {
-            fault(one.id + " counts " + std::to_string(outcome.dispatches) + " dispatches, " +
-                  std::to_string(arrivals) + " arrived");
+            report_violation(one.id + " counts " + std::to_string(outcome.dispatches) +
+                             " dispatches, but " + std::to_string(arrivals) + " arrived");
         }
         if (outcome.withdrawals > arrivals) {
-            fault(one.id + " counts more withdrawals than arrivals");
+            report_violation(one.id + " counts more withdrawals than arrivals");
         }
     }
 
-    /// @return when the first naming of newer weights was; nothing where there is none.
+    /// @return when newer weights were first announced; nothing if there are none.
     std::optional<base::monotonic_time> outdated_since(std::uint64_t version) const {
-        for (const naming& one : m_namings) {
+        for (const announcement& one : m_announcements) {
             if (one.version > version) {
                 return one.at;
             }
@@ -375,8 +382,8 @@
         return std::nullopt;
     }
 
-    /// Nothing begins on weights that are too old where the engine forgets what is closed, or was
-    /// told to end before.
+    /// No request begins on weights that are too old at an engine that drops closed connections or
+    /// was given an earlier deadline.
     void check_outdated() {
         for (const beginning& one : m_router.upstream.begun) {
             const auto since = outdated_since(one.version);
@@ -385,9 +392,9 @@
             }
             const base::monotonic_time limit = *since + queueing_router::allowed;
             if (one.at > limit && (one.drops_closed || one.told_end <= limit)) {
-                fault(one.request + " began at " + one.engine + " " +
-                      std::to_string(base::to_milliseconds(one.at - *since)) +
-                      " ms after the naming");
+                report_violation(one.request + " began at " + one.engine + " " +
+                                 std::to_string(base::to_milliseconds(one.at - *since)) +
+                                 " ms after newer weights were announced");
             }
         }
     }
@@ -397,8 +404,8 @@
             return one.sent_at > after && one.sent_at <= until;
         });
     }
-    /// In any window that ends with a retry, retries are within the reserve and the share. A retry
-    /// is paid for as its connection begins to be opened.
+    /// In any window that ends with a retry, retries are within the reserve plus the share. A retry
+    /// is charged when its connection starts to be opened.
     void check_retries() {
         const retry_settings allowed;
         std::set<std::string> seen;
@@ -415,40 +422,40 @@
                               [&](base::monotonic_time each) { return each > after; });
             const auto requests = static_cast<double>(requests_within(after, paid));
             if (static_cast<double>(within) > allowed.reserve + allowed.share * requests) {
-                fault(one.request + " was repeated beyond the budget");
+                report_violation(one.request + " was retried beyond the budget");
             }
         }
     }
 
-    void check_books() {
+    void check_no_leaks() {
         for (const auto& [name, engine] : m_router.registry.engines()) {
             if (engine.running != 0 || engine.unrepeatable != 0 ||
                 engine.pending_prefill_tokens != 0) {
-                fault(name.value + " still counts requests");
+                report_violation(name.value + " still counts requests after the run");
             }
         }
         if (m_router.service.active() != 0) {
-            fault("the service still counts requests");
+            report_violation("the service still counts requests after the run");
         }
         for (const auto& failed : m_router.time.failures()) {
-            fault("an exception left " + failed.coroutine + ": " + failed.message);
+            report_violation("uncaught exception in " + failed.coroutine + ": " + failed.message);
         }
     }
 
-    void note(coverage& seen) const {
+    void count_cases(coverage& seen) const {
         for (const caller& one : m_callers) {
             const auto found = m_router.outcomes.find(one.id);
             if (found == m_router.outcomes.end()) {
                 continue;
             }
-            note_request(one, found->second, seen);
+            count_request(one, found->second, seen);
         }
         for (const beginning& one : m_router.upstream.begun) {
             const auto since = outdated_since(one.version);
             seen.begun_outdated += since && one.at > *since ? 1 : 0;
         }
     }
-    void note_request(const caller& one, const relay_outcome& outcome, coverage& seen) const {
+    void count_request(const caller& one, const relay_outcome& outcome, coverage& seen) const {
         const leaving_writer& got = *one.writer;
         seen.left += got.aborted && got.leaves() ? 1 : 0;
         seen.broken_streams += got.aborted && got.streams == 1 ? 1 : 0;
@@ -461,58 +468,58 @@
         seen.served_elsewhere += served ? 1 : 0;
         seen.refused_after += got.status == 503 ? 1 : 0;
         seen.unknown_after += got.status == 502 ? 1 : 0;
-        seen.begun_all_the_same += begins_of(one) > (served ? 1U : 0U) ? 1 : 0;
+        seen.begun_nevertheless += begins_of(one) > (served ? 1U : 0U) ? 1 : 0;
     }
 
     base::seeded_random m_random;
     queueing_router m_router;
     std::map<std::string, std::uint32_t> m_attempts;  ///< By the route's path.
-    std::vector<naming> m_namings;                    ///< In their order.
-    int m_unlearnt = 0;                               ///< Namings that the router doesn't know yet.
+    std::vector<announcement> m_announcements;        ///< In chronological order.
+    int m_unknown_announcements = 0;  ///< Announcements that the router does not know yet.
     std::vector<caller> m_callers;
-    base::monotonic_time m_last{};  ///< The last caller comes.
-    std::vector<std::string> m_faults;
+    base::monotonic_time m_last_arrival{};  ///< Arrival of the last caller.
+    std::vector<std::string> m_violations;
 };
 
-/// @return the number of faults, which are printed with their seed.
-std::size_t faults_of(std::uint64_t seed, coverage& seen) {
+/// Prints violations with their seed. @return the number of violations.
+std::size_t violations_of(std::uint64_t seed, coverage& seen) {
     race one(seed);
-    const std::vector<std::string> faults = one.run(seen);
-    for (const std::string& each : faults) {
+    const std::vector<std::string> violations = one.run(seen);
+    for (const std::string& each : violations) {
         cr_log_warn("seed %llu: %s", static_cast<unsigned long long>(seed), each.c_str());
     }
-    return faults.size();
+    return violations.size();
 }
 
 }  // namespace
 
-Test(withdrawal_races, every_order_keeps_the_rules) {
+Test(withdrawal_races, invariants_hold_in_every_order) {
     coverage seen;
-    std::size_t faults = 0;
+    std::size_t violations = 0;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        faults += faults_of(seed, seen);
+        violations += violations_of(seed, seen);
     }
     cr_log_info(
-        "withdrawn %zu, then served %zu, refused %zu, unknown %zu, begun all the same %zu; "
+        "withdrawn %zu, then served %zu, refused %zu, unknown %zu, begun nevertheless %zu; "
         "begun outdated %zu, left %zu, broken streams %zu, repeated %zu",
         seen.withdrawn, seen.served_elsewhere, seen.refused_after, seen.unknown_after,
-        seen.begun_all_the_same, seen.begun_outdated, seen.left, seen.broken_streams,
+        seen.begun_nevertheless, seen.begun_outdated, seen.left, seen.broken_streams,
         seen.repeated);
-    cr_assert_eq(faults, 0);
+    cr_assert_eq(violations, 0);
     cr_assert_gt(seen.withdrawn, 0);
     cr_assert_gt(seen.served_elsewhere, 0);
     cr_assert_gt(seen.refused_after, 0);
     cr_assert_gt(seen.unknown_after, 0);
-    cr_assert_gt(seen.begun_all_the_same, 0);
+    cr_assert_gt(seen.begun_nevertheless, 0);
     cr_assert_gt(seen.begun_outdated, 0);
     cr_assert_gt(seen.left, 0);
     cr_assert_gt(seen.broken_streams, 0);
     cr_assert_gt(seen.repeated, 0);
 }
 
-/// The weights became too old while the connection was opened, as the process stood still: nothing
-/// was sent, so that there was nothing to withdraw and no retry to pay for.
-Test(withdrawal_races, what_was_not_sent_is_not_withdrawn) {
+/// The process is paused while the connection is being opened, and the weights become too old
+/// meanwhile. Nothing is sent, so that no withdrawal is counted and no retry is charged.
+Test(withdrawal_races, an_unsent_dispatch_is_not_withdrawn) {
     queueing_router router({{"e1", {1, 100ms, 50ms}}});
     router.upstream.connect_time = 300ms;
     router.name_weights(2);
@@ -529,16 +536,17 @@
     cr_assert_eq(router.writers[0]->status, 503);
 }
 
-/// Newer weights were named while the request waited at an engine that had the newest until then,
-/// and that wasn't told an end, as the answer is long.
-Test(withdrawal_races, a_naming_counts_for_what_waits_already) {
+/// Newer weights are announced while a request waits at an engine that had the newest until then
+/// and was not given a deadline for them, as the answer is long. The seeds reproduce such cases.
+Test(withdrawal_races, an_announcement_applies_to_waiting_requests) {
     coverage seen;
-    cr_assert_eq(faults_of(40, seen), 0);
-    cr_assert_eq(faults_of(409, seen), 0);
-    cr_assert_eq(faults_of(506, seen), 0);
+    cr_assert_eq(violations_of(40, seen), 0);
+    cr_assert_eq(violations_of(409, seen), 0);
+    cr_assert_eq(violations_of(506, seen), 0);
 }
 
-/// The head of an answer that is no stream shows that its request began: it isn't cut at the limit.
+/// The head of a non-streaming answer shows that its request has begun, so that it is not withdrawn
+/// at the limit.
 Test(withdrawal_races, a_whole_answer_that_began_in_time_is_not_cut) {
     queueing_engine whole{1, 100ms, 1200ms};
     whole.whole_answers = true;
