--- a/src/ferryroad/relay/relay_driver.hpp
+++ b/src/ferryroad/relay/relay_driver.hpp
@@ -267,7 +267,7 @@
         m_load.emplace(m_dependencies.registry, m_selected.target.name, m_selected.prefill_tokens,
                        is_repeatable(*m_plan.on));
         const known_engine* engine = m_dependencies.registry.find(m_selected.target.name);
-        m_engine_born = engine == nullptr ? std::nullopt : engine->listed.born;
+        m_engine_start = engine == nullptr ? std::nullopt : engine->listed.born;
         m_evidence.begin(m_plan, engine, expected_prefill(), now);
         const auto parts = m_dependencies.selection.record_dispatch(*m_plan.call, m_selected, now);
         if (m_dependencies.dispatched) {
@@ -292,7 +292,7 @@
             const base::monotonic_time opened_at = m_dependencies.scheduler.now();
             m_dependencies.selection.record_way(m_selected.zone, opened_at - now, opened_at);
         }
-        record_version(opened->version);
+        record_weights_version(opened->version);
         m_answer = std::move(*opened);
         if (!m_answer->is_event_stream) {
             m_timing.answered(m_dependencies.scheduler.now());
@@ -374,7 +374,7 @@
         }
     }
 
-    void record_version(const std::optional<std::uint64_t>& version) {
+    void record_weights_version(const std::optional<std::uint64_t>& version) {
         if (version && m_plan.call->prompt) {
             m_outcome.weights = version;
             m_dependencies.registry.saw_version(m_selected.target.name, m_plan.call->prompt->model,
@@ -383,7 +383,7 @@
     }
 
     /// Records that the request has begun, under the weights version reported in the answer's head.
-    void record_beginning(base::monotonic_time now) {
+    void record_first_event(base::monotonic_time now) {
         const auto outdated = m_timing.begun(m_answer->version, now);
         if (m_plan.call->prompt) {
             m_outcome.begun_after = m_timing.since_sent(now);
@@ -441,7 +441,7 @@
         } else {
             m_lost_connection = failure.proof != execution::failure_proof::not_run;
         }
-        record_version(failure.version);
+        record_weights_version(failure.version);
         if (known_engine* engine = current_engine()) {
             record_dispatch_failure(*engine, failure, has_outdated_weights(*engine), m_tunables,
                                     now);
@@ -484,7 +484,8 @@
         broken_exchange how;
         how.silent = m_exchange_events == 0 && taken >= m_tunables.min_run_time;
         // A registration that expired and was renewed is not a new process.
-        how.replaced = m_engine_born && listed->listed.born && m_engine_born != listed->listed.born;
+        how.replaced =
+            m_engine_start && listed->listed.born && m_engine_start != listed->listed.born;
         how.began = m_exchange_began;
         m_dependencies.quarantine->exchange_broke(m_selected.target, m_plan.identity, how);
     }
@@ -621,7 +622,7 @@
             m_load->prefilled();
         }
         if (m_exchange_events == 0) {
-            record_beginning(now);
+            record_first_event(now);
         }
         ++m_outcome.events;
         ++m_exchange_events;
@@ -724,7 +725,7 @@
     execution::exchange_number m_exchange;
     base::monotonic_time m_exchange_began{};
     std::uint64_t m_exchange_events = 0;
-    std::optional<std::uint64_t> m_engine_born;  ///< Start of the exchange's engine process.
+    std::optional<std::uint64_t> m_engine_start;  ///< Start of the exchange's engine process.
     std::optional<opened_answer> m_answer;
     core::stream::event_splitter m_splitter;
     std::string m_body;  ///< Body of a non-streaming answer received so far.
--- a/src/ferryroad/relay/relay_service.hpp
+++ b/src/ferryroad/relay/relay_service.hpp
@@ -158,17 +158,17 @@
         }
         // A policy without a recent confirmation may be outdated: a missing route or key may have
         // been added since.
-        const bool refusals_valid = m_dependencies.policies.refusals_hold(now);
+        const bool can_refuse = m_dependencies.policies.refusals_hold(now);
         plan.on = plan.policy->find_route(call->host, call->message.path());
         if (plan.on == nullptr) {
-            return refusal_of(refusals_valid ? refusal_cause::no_route
-                                             : refusal_cause::policy_not_fresh);
+            return refusal_of(can_refuse ? refusal_cause::no_route
+                                         : refusal_cause::policy_not_fresh);
         }
         if (plan.policy->needs_key(*plan.on)) {
             plan.tenant = call->api_key ? plan.policy->find_tenant(*call->api_key) : nullptr;
             if (plan.tenant == nullptr) {
-                return refusal_of(refusals_valid ? refusal_cause::unknown_key
-                                                 : refusal_cause::policy_not_fresh);
+                return refusal_of(can_refuse ? refusal_cause::unknown_key
+                                             : refusal_cause::policy_not_fresh);
             }
             if (!m_dependencies.policies.keys_hold(now)) {
                 return refusal_of(refusal_cause::policy_not_fresh);
--- a/src/ferryroad/relay/request_quarantine.cpp
+++ b/src/ferryroad/relay/request_quarantine.cpp
@@ -154,11 +154,11 @@
     crash.at = std::min(reported.at, now);
     std::vector<request_identity> completed_here;
     std::erase_if(crash.candidates, [&](const crash_candidate& one) {
-        const bool ended_well = m_suspects.ended_well_lately(one.request, now);
-        if (ended_well) {
+        const bool completed = m_suspects.ended_well_lately(one.request, now);
+        if (completed) {
             completed_here.push_back(one.request);
         }
-        return ended_well;
+        return completed;
     });
     const std::vector<withdrawn_request> withdrawn_here = take_withdrawn(crash.engine, crash.at);
     add_candidates(crash, withdrawn_here);
--- a/test/relay/request_quarantine_test.cpp
+++ b/test/relay/request_quarantine_test.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-/// A service with a quarantine. `engines_end` says whether engines refuse connections after a
+/// A service with a quarantine. `engines_crash` says whether engines refuse connections after a
 /// broken exchange.
 struct quarantine_fixture : relay_fixture {
     static quarantine_settings settings_of_quarantine() {
