--- a/src/ferryroad/relay/engine_shortlist.cpp
+++ b/src/ferryroad/relay/engine_shortlist.cpp
@@ -13,9 +13,9 @@
     const known_engine* engine = nullptr;
 };
 
-/// Adds the `count` engines that rank highest for a key.
-void add_highest(const engine_pool& pool, std::uint64_t key, std::size_t count,
-                 std::vector<const known_engine*>& listed) {
+/// Appends the `count` engines that rank highest for a key, in no particular order.
+void add_highest_ranked(const engine_pool& pool, std::uint64_t key, std::size_t count,
+                        std::vector<const known_engine*>& listed) {
     std::vector<ranked_engine> ranked;
     ranked.reserve(pool.size());
     for (const pool_member& one : pool) {
@@ -29,7 +29,7 @@
     }
 }
 
-bool comes_before(const known_engine* a, const known_engine* b) {
+bool name_less(const known_engine* a, const known_engine* b) {
     return a->listed.name < b->listed.name;
 }
 
@@ -42,25 +42,25 @@
 std::vector<const known_engine*> shortlist(const engine_pool& pool, const shortlist_keys& keys,
                                            const shortlist_limits& limits) {
     std::vector<const known_engine*> listed;
-    if (pool.size() <= limits.whole) {
+    if (pool.size() <= limits.full_pool) {
         for (const pool_member& one : pool) {
             listed.push_back(one.engine);
         }
         return listed;
     }
     if (keys.home) {
-        add_highest(pool, *keys.home, limits.homes, listed);
+        add_highest_ranked(pool, *keys.home, limits.home_candidates, listed);
     }
-    std::vector<const known_engine*> drawn;
-    add_highest(pool, keys.request, limits.drawn, drawn);
-    add_to_shortlist(listed, drawn);
+    std::vector<const known_engine*> sampled;
+    add_highest_ranked(pool, keys.request, limits.sampled, sampled);
+    add_to_shortlist(listed, sampled);
     return listed;
 }
 
 void add_to_shortlist(std::vector<const known_engine*>& listed,
                       const std::vector<const known_engine*>& added) {
     listed.insert(listed.end(), added.begin(), added.end());
-    std::sort(listed.begin(), listed.end(), comes_before);
+    std::sort(listed.begin(), listed.end(), name_less);
     listed.erase(std::unique(listed.begin(), listed.end()), listed.end());
 }
 
--- a/test/relay/engine_shortlist_test.cpp
+++ b/test/relay/engine_shortlist_test.cpp
@@ -1,4 +1,5 @@
-/// Of a large pool few engines are looked at for a request, and every router finds the same home.
+/// In a large pool only a few engines are considered per request, and every router selects the same
+/// home engine for a prompt.
 #include "ferryroad/relay/engine_shortlist.hpp"
 
 #include "ferryroad/base/hash.hpp"
@@ -40,9 +41,9 @@
     return {base::hash_bytes("shared"), base::hash_bytes(request)};
 }
 
-/// A router's own view of the same engines.
-struct router {
-    explicit router(std::size_t engines) {
+/// A router's registry, policy and selection over the same engines.
+struct test_router {
+    explicit test_router(std::size_t engines) {
         fill(registry, engines);
         core::traffic::declaration declared;
         declared.version = 1;
@@ -74,48 +75,49 @@
 
 }  // namespace
 
-Test(engine_shortlist, a_small_pool_is_looked_at_whole_and_in_order) {
+Test(engine_shortlist, lists_all_engines_of_a_small_pool_sorted_by_name) {
     engine_registry registry;
     const shortlist_limits limits;
-    fill(registry, limits.whole);
+    fill(registry, limits.full_pool);
     const auto listed = shortlist(registry.pool(pool_name), keys_of("r"), limits);
-    cr_assert_eq(listed.size(), limits.whole);
+    cr_assert_eq(listed.size(), limits.full_pool);
     cr_assert(std::is_sorted(listed.begin(), listed.end(), [](const auto* a, const auto* b) {
         return a->listed.name < b->listed.name;
     }));
 }
 
-Test(engine_shortlist, what_is_looked_at_does_not_grow_with_the_pool) {
+Test(engine_shortlist, shortlist_size_is_independent_of_the_pool_size) {
     const shortlist_limits limits;
     for (const std::size_t engines : {1'000, 10'000, 20'000}) {
         engine_registry registry;
         fill(registry, engines);
         const auto listed = shortlist(registry.pool(pool_name), keys_of("r"), limits);
-        cr_assert_leq(listed.size(), limits.homes + limits.drawn);
-        cr_assert_geq(listed.size(), limits.drawn);
+        cr_assert_leq(listed.size(), limits.home_candidates + limits.sampled);
+        cr_assert_geq(listed.size(), limits.sampled);
     }
 }
 
-Test(engine_shortlist, requests_draw_different_engines_and_share_the_homes) {
+Test(engine_shortlist, requests_sample_different_engines_and_share_home_candidates) {
     engine_registry registry;
     fill(registry, 5'000);
     const shortlist_limits limits;
     const engine_pool& pool = registry.pool(pool_name);
     const auto first = shortlist(pool, keys_of("r1"), limits);
     const auto second = shortlist(pool, keys_of("r2"), limits);
-    std::vector<const known_engine*> common;
-    std::set_intersection(
-        first.begin(), first.end(), second.begin(), second.end(), std::back_inserter(common),
-        [](const auto* a, const auto* b) { return a->listed.name < b->listed.name; });
-    cr_assert_geq(common.size(), limits.homes);
-    cr_assert_leq(common.size(), limits.homes + 10);
+    std::vector<const known_engine*> shared_candidates;
+    std::set_intersection(first.begin(), first.end(), second.begin(), second.end(),
+                          std::back_inserter(shared_candidates), [](const auto* a, const auto* b) {
+                              return a->listed.name < b->listed.name;
+                          });
+    cr_assert_geq(shared_candidates.size(), limits.home_candidates);
+    cr_assert_leq(shared_candidates.size(), limits.home_candidates + 10);
 }
 
-/// Load pattern: prompts with long shared parts come to routers that hear of few holders.
-Test(engine_shortlist, where_few_holders_are_known_all_routers_send_a_prompt_to_its_home) {
-    router one(3'000);
-    router other(3'000);
-    for (router* each : {&one, &other}) {
+/// Load pattern: prompts with long shared parts reach routers that know few holders of their state.
+Test(engine_shortlist, all_routers_use_the_home_when_few_holders_are_known) {
+    test_router one(3'000);
+    test_router other(3'000);
+    for (test_router* each : {&one, &other}) {
         each->selection.ask_knowledge([] { return false; });
         each->selection.expect_routers(985, 50);
     }
@@ -124,11 +126,12 @@
         cr_assert(other.select("r" + std::to_string(request))->target.name == home);
     }
     const auto second = one.select("r1", {home})->target.name;
-    cr_assert(other.select("r5", {home})->target.name == second, "the next home, too");
+    cr_assert(other.select("r5", {home})->target.name == second,
+              "both routers agree on the next home, too");
 }
 
-Test(engine_shortlist, what_the_home_may_hold_is_fetched_from_there_where_it_is_busy) {
-    router one(3'000);
+Test(engine_shortlist, fetches_state_from_a_busy_home) {
+    test_router one(3'000);
     one.selection.ask_knowledge([] { return false; });
     const auto home = one.select("r1")->target;
     one.registry.find(home.name)->pending_prefill_tokens = 100'000;
@@ -137,8 +140,8 @@
     cr_assert(chosen->fetch_state_from == home.address);
 }
 
-Test(engine_shortlist, who_holds_the_prompt_is_looked_at_wherever_it_ranks) {
-    router one(3'000);
+Test(engine_shortlist, lists_holders_of_the_prompt_regardless_of_rank) {
+    test_router one(3'000);
     const auto home = one.select("r1")->target.name;
     const core::prefix::declared_prompt prompt{
         "m", {{"a", 1000}, {"shared", 8000}, {"own", 500}}, 9500, 20};
