--- a/src/ferryroad/relay/selection.cpp
+++ b/src/ferryroad/relay/selection.cpp
@@ -14,13 +14,14 @@
 
 namespace {
 
-/// What a few routers know says little of a fleet that is so many times as large.
-constexpr double most_unseen_load = 8;
+/// Upper bound of the load factor for unseen routers: the load of a few routers says little about
+/// a fleet that is many times as large.
+constexpr double max_unseen_load_factor = 8;
 
-/// Of a streamed answer, with an event's framing around each piece of text.
+/// Size of one event of a streamed answer: a piece of text with its framing.
 constexpr double event_kb = 0.1;
 
-/// @return what the prompt's home is found by; nothing where it shares no part.
+/// @return the hash key of the prompt's home; nullopt if the prompt has no shared parts.
 std::optional<std::uint64_t> home_key(const core::prefix::declared_prompt& prompt) {
     if (prompt.shared_parts() == 0) {
         return std::nullopt;
@@ -82,13 +83,15 @@
     }
     if (query.call.prompt &&
         engine->version_of(query.call.prompt->model) != chosen.expected_version) {
-        return false;  // It would refuse the version, and memory of the older one isn't its own.
+        // The engine would reject the expected version, and the state found for the selection
+        // belongs to other weights.
+        return false;
     }
     if (m_releases == nullptr) {
         return true;
     }
-    // Which engines are on trial is drawn anew every now and then: that one of them got the request
-    // stays right while the trial lasts.
+    // The set of canary engines changes periodically; an earlier choice stays valid for as long as
+    // the trial lasts.
     const auto permitted = m_releases->permits(*engine, now);
     return permitted == coordination::release::permission::all ||
            (chosen.canary && permitted == coordination::release::permission::canary);
@@ -101,13 +104,13 @@
     return found == holdings.end() || found->holder != holder ? 0 : found->tokens;
 }
 
-void engine_selection::givers::add(const placement::holding& one) {
-    if (one.tokens > most) {
-        most_beside = most;
-        most = one.tokens;
+void engine_selection::state_sources::add(const placement::holding& one) {
+    if (one.tokens > most_tokens) {
+        second_tokens = most_tokens;
+        most_tokens = one.tokens;
         best = one.holder;
     } else {
-        most_beside = std::max(most_beside, one.tokens);
+        second_tokens = std::max(second_tokens, one.tokens);
     }
 }
 
@@ -124,8 +127,8 @@
     return std::nullopt;
 }
 
-bool engine_selection::keeps_scope(const base::engine_name& holder, const std::string& model,
-                                   std::uint64_t version, base::monotonic_time now) const {
+bool engine_selection::has_scope_weights(const base::engine_name& holder, const std::string& model,
+                                         std::uint64_t version, base::monotonic_time now) const {
     const known_engine* engine = m_registry.find(holder);
     if (engine == nullptr) {
         return true;
@@ -133,7 +136,8 @@
     return engine->version_of(model) == version && now >= engine->loading_until;
 }
 
-void engine_selection::find_givers(const selection_query& query, scoped_prompt& prompt) const {
+void engine_selection::find_state_sources(const selection_query& query,
+                                          scoped_prompt& prompt) const {
     for (const placement::holding& one : prompt.holdings) {
         if (!one.confirmed) {
             continue;
@@ -148,23 +152,22 @@
     }
 }
 
-bool engine_selection::far_state_is_worth_moving() const {
+bool engine_selection::cross_region_fetch_pays_off() const {
     const placement::placement_tunables& costs = m_settings.placement;
     return costs.fetch_token_ms * costs.far_fetch_factor <
            costs.reread_factor / costs.prefill_tokens_per_ms;
 }
 
-engine_selection::scoped_prompt engine_selection::scoped(const selection_query& query,
-                                                         std::uint64_t version,
-                                                         base::monotonic_time now) const {
+engine_selection::scoped_prompt engine_selection::make_scoped_prompt(
+    const selection_query& query, std::uint64_t version, base::monotonic_time now) const {
     scoped_prompt prompt;
     prompt.scope = cache_scope_of(query.tenant, version);
     prompt.parts = core::prefix::scoped_parts_of(*query.call.prompt, prompt.scope);
     prompt.holdings = m_warm.holdings(prompt.parts, now);
     std::erase_if(prompt.holdings, [&](const placement::holding& one) {
-        return !keeps_scope(one.holder, query.call.prompt->model, version, now);
+        return !has_scope_weights(one.holder, query.call.prompt->model, version, now);
     });
-    find_givers(query, prompt);
+    find_state_sources(query, prompt);
     return prompt;
 }
 
@@ -173,14 +176,13 @@
     base::monotonic_time now) const {
     auto known = prompts.find(version);
     if (known == prompts.end()) {
-        known = prompts.emplace(version, scoped(query, version, now)).first;
+        known = prompts.emplace(version, make_scoped_prompt(query, version, now)).first;
     }
     return known->second;
 }
 
-std::vector<const known_engine*> engine_selection::considered(const selection_query& query,
-                                                              scoped_prompts& prompts,
-                                                              base::monotonic_time now) const {
+std::vector<const known_engine*> engine_selection::shortlisted_engines(
+    const selection_query& query, scoped_prompts& prompts, base::monotonic_time now) const {
     const engine_pool& pool = m_registry.pool(query.pool);
     shortlist_keys keys;
     keys.request = base::hash_bytes(query.call.id.value);
@@ -193,12 +195,12 @@
     }
     add_to_shortlist(listed, m_registry.lately_used(query.pool));
     if (query.call.prompt) {
-        add_to_shortlist(listed, holders_among(listed, query, prompts, now));
+        add_to_shortlist(listed, top_holders(listed, query, prompts, now));
     }
     return listed;
 }
 
-std::vector<const known_engine*> engine_selection::holders_among(
+std::vector<const known_engine*> engine_selection::top_holders(
     const std::vector<const known_engine*>& listed, const selection_query& query,
     scoped_prompts& prompts, base::monotonic_time now) const {
     std::set<std::uint64_t> versions;
@@ -223,20 +225,20 @@
     return holders;
 }
 
-std::vector<engine_selection::weighed> engine_selection::eligible(const selection_query& query,
-                                                                  scoped_prompts& prompts,
-                                                                  base::monotonic_time now) const {
+std::vector<engine_selection::eligible_engine> engine_selection::eligible_engines(
+    const selection_query& query, scoped_prompts& prompts, base::monotonic_time now) const {
     const auto loads = m_loads.totals(now);
     release_filter released(m_releases, query.canary, now);
-    std::vector<weighed> engines;
-    for (const known_engine* listed : considered(query, prompts, now)) {
+    std::vector<eligible_engine> engines;
+    for (const known_engine* listed : shortlisted_engines(query, prompts, now)) {
         const known_engine& engine = *listed;
         if (!may_serve(engine, query, now) || !released.allows(engine)) {
             continue;
         }
         const auto others = loads.find(engine.listed.name);
-        weighed one{&engine, others == loads.end() ? placement::shared_load{} : others->second,
-                    nullptr, std::nullopt, std::nullopt};
+        eligible_engine one{&engine,
+                            others == loads.end() ? placement::shared_load{} : others->second,
+                            nullptr, std::nullopt, std::nullopt};
         if (query.call.prompt) {
             const std::string& model = query.call.prompt->model;
             const std::uint64_t version = engine.version_of(model);
@@ -248,7 +250,7 @@
     return engines;
 }
 
-placement::engine_candidate engine_selection::candidate_of(const weighed& one,
+placement::engine_candidate engine_selection::candidate_of(const eligible_engine& one,
                                                            base::monotonic_time now) const {
     const known_engine& engine = *one.engine;
     placement::engine_candidate candidate;
@@ -258,7 +260,7 @@
     const bool refuses =
         now < std::max(engine.refuses_until, engine.loading_until) || one.others.refuses;
     candidate.suspended = engine.health.suspended(now) || refuses;
-    candidate.connected = !m_keeps_connection || m_keeps_connection(engine.listed.address);
+    candidate.connected = !m_is_connected || m_is_connected(engine.listed.address);
     candidate.running = engine.running + one.others.running;
     candidate.slots = engine.listed.slots;
     candidate.pending_prefill_tokens = engine.pending_prefill_tokens + one.others.prefill_tokens;
@@ -266,23 +268,24 @@
         const auto outdated = one.outdated_since;
         candidate.outdated = outdated && now - *outdated > m_settings.outdated_grace;
         candidate.warm_tokens = one.prompt->held_by(candidate.name);
-        const std::uint64_t anywhere = one.prompt->everywhere.held_beside(candidate.name);
+        const std::uint64_t anywhere = one.prompt->everywhere.most_tokens_excluding(candidate.name);
         candidate.fetchable_tokens = anywhere;
         candidate.far_fetchable_tokens = anywhere;
         if (m_settings.zones.several_regions()) {
             const auto region = m_settings.zones.region_of(engine.listed.zone);
             const auto near =
                 region ? one.prompt->by_region.find(*region) : one.prompt->by_region.end();
-            candidate.fetchable_tokens =
-                near == one.prompt->by_region.end() ? 0 : near->second.held_beside(candidate.name);
+            candidate.fetchable_tokens = near == one.prompt->by_region.end()
+                                             ? 0
+                                             : near->second.most_tokens_excluding(candidate.name);
         }
     }
     return candidate;
 }
 
-placement::expected_work engine_selection::work_at(const placement::engine_candidate& candidate,
-                                                   const placement::placement_query& placed,
-                                                   const selection_query& query) const {
+placement::expected_work engine_selection::expected_work_at(
+    const placement::engine_candidate& candidate, const placement::placement_query& placed,
+    const selection_query& query) const {
     const std::uint64_t held = std::max(candidate.warm_tokens, candidate.fetchable_tokens);
     const std::uint64_t own = placed.input_tokens - std::min(held, placed.input_tokens);
     const double pending =
@@ -299,24 +302,24 @@
     return found == m_forecasts.end() ? nothing_seen : found->second;
 }
 
-void engine_selection::keep_timely(const selection_query& query, base::monotonic_time now,
-                                   std::vector<weighed>& engines,
-                                   placement::placement_query& placed) const {
-    // A look at all of 1,200 engines costs a selection 0.1 ms, and mostly none is outdated.
-    const bool some_outdated = std::any_of(engines.begin(), engines.end(), [](const weighed& one) {
-        return one.outdated_since.has_value();
-    });
+void engine_selection::remove_late_engines(const selection_query& query, base::monotonic_time now,
+                                           std::vector<eligible_engine>& engines,
+                                           placement::placement_query& placed) const {
+    // Processing all of 1,200 engines takes 0.1 ms per selection; usually none is outdated.
+    const bool some_outdated =
+        std::any_of(engines.begin(), engines.end(),
+                    [](const eligible_engine& one) { return one.outdated_since.has_value(); });
     if (!m_settings.outdated_limit || !some_outdated) {
         return;
     }
     const placement::begin_forecast& forecast = forecast_of(query.pool);
-    std::vector<weighed> timely;
+    std::vector<eligible_engine> timely;
     std::vector<placement::engine_candidate> candidates;
     for (std::size_t index = 0; index < engines.size(); ++index) {
-        weighed& one = engines[index];
+        eligible_engine& one = engines[index];
         placement::engine_candidate& candidate = placed.candidates[index];
         if (one.outdated_since) {
-            one.limit = forecast.limit_for(work_at(candidate, placed, query),
+            one.limit = forecast.limit_for(expected_work_at(candidate, placed, query),
                                            *one.outdated_since + *m_settings.outdated_limit, now);
         }
         if (!one.outdated_since || one.limit) {
@@ -329,15 +332,15 @@
 }
 
 std::optional<base::monotonic_time> engine_selection::stop_by(const selection_query& query,
-                                                              const weighed& one,
+                                                              const eligible_engine& one,
                                                               const placement::expected_work& work,
                                                               base::monotonic_time now) const {
     if (one.limit) {
         return one.limit->ends_before ? std::optional(one.limit->begin_by) : std::nullopt;
     }
-    // Newer weights may have been named right after the last confirmation, or may be while the
-    // request waits. Without the owner nothing can be named, and what runs is not to be stopped for
-    // that.
+    // Newer weights may have been named right after the last confirmation, or may be named while
+    // the request waits. While the policy's owner is unreachable nothing can be named, so running
+    // requests need no deadline.
     const auto earliest = earliest_limit();
     if (!earliest || !m_policies.refusals_hold(now)) {
         return std::nullopt;
@@ -346,9 +349,9 @@
     return limit && limit->ends_before ? earliest : std::nullopt;
 }
 
-/// All routers of a region reckon the same home from the same list of engines, so that requests
-/// which come at the same time to different routers read a prefix once.
-const known_engine* engine_selection::mark_home(const std::vector<weighed>& engines,
+/// All routers of a region compute the same home from the same list of engines, so that a prefix is
+/// computed once when requests for it reach several routers at the same time.
+const known_engine* engine_selection::mark_home(const std::vector<eligible_engine>& engines,
                                                 const core::prefix::declared_prompt& prompt,
                                                 placement::placement_query& placed) const {
     const auto key = home_key(prompt);
@@ -364,7 +367,7 @@
     const auto near = static_cast<std::size_t>(
         std::count_if(placed.candidates.begin(), placed.candidates.end(),
                       [&](const auto& one) { return may_be_home(one) && is_near(one); }));
-    const bool own_region = near >= m_settings.least_homes;
+    const bool own_region = near >= m_settings.min_region_home_candidates;
     std::optional<std::size_t> home;
     std::uint64_t best = 0;
     for (std::size_t index = 0; index < engines.size(); ++index) {
@@ -383,9 +386,10 @@
     return engines[*home].engine;
 }
 
-void engine_selection::draw(const base::request_id& id, std::vector<weighed>& engines,
-                            placement::placement_query& placed) const {
-    if (engines.size() <= m_settings.drawn.engines) {
+void engine_selection::sample_candidates(const base::request_id& id,
+                                         std::vector<eligible_engine>& engines,
+                                         placement::placement_query& placed) const {
+    if (engines.size() <= m_settings.sampling.engines) {
         return;
     }
     const std::uint64_t key = base::hash_bytes(id.value);
@@ -403,32 +407,32 @@
         const bool far = candidate.away == core::topology::distance::other_region;
         others.push_back({index, score, !candidate.suspended, candidate.connected, far});
     }
-    const auto drawn = placement::draw_engines(others, m_settings.drawn);
-    kept.insert(kept.end(), drawn.begin(), drawn.end());
-    std::vector<weighed> left;
+    const auto sampled = placement::draw_engines(others, m_settings.sampling);
+    kept.insert(kept.end(), sampled.begin(), sampled.end());
+    std::vector<eligible_engine> remaining;
     std::vector<placement::engine_candidate> candidates;
     for (const std::size_t index : kept) {
-        left.push_back(engines[index]);
+        remaining.push_back(engines[index]);
         candidates.push_back(std::move(placed.candidates[index]));
     }
-    engines = std::move(left);
+    engines = std::move(remaining);
     placed.candidates = std::move(candidates);
 }
 
 void engine_selection::expect_routers(std::size_t present, std::size_t heard) {
     const double multiple = static_cast<double>(present) / static_cast<double>(heard);
-    m_unseen_load = std::clamp(multiple, 1.0, most_unseen_load);
+    m_unseen_load_factor = std::clamp(multiple, 1.0, max_unseen_load_factor);
 }
 
 std::optional<selected_engine> engine_selection::select(const selection_query& query,
                                                         base::monotonic_time now) {
     scoped_prompts prompts;
-    std::vector<weighed> engines = eligible(query, prompts, now);
+    std::vector<eligible_engine> engines = eligible_engines(query, prompts, now);
     placement::placement_query placed;
-    placed.unseen_load = m_unseen_load;
+    placed.unseen_load = m_unseen_load_factor;
     placed.knows_holders = !m_knows_holders || m_knows_holders();
     const known_engine* home = nullptr;
-    for (const weighed& one : engines) {
+    for (const eligible_engine& one : engines) {
         placed.candidates.push_back(candidate_of(one, now));
     }
     placed.transfer_kb = static_cast<double>(query.call.message.body.size()) / 1000;
@@ -438,15 +442,15 @@
         placed.shared_tokens = query.call.prompt->shared_tokens();
         placed.target_gap = query.target_gap;
         placed.gap_pressure = m_gap_pressures[query.pool].level();
-        keep_timely(query, now, engines, placed);
+        remove_late_engines(query, now, engines, placed);
         home = mark_home(engines, *query.call.prompt, placed);
     }
-    draw(query.call.id, engines, placed);
+    sample_candidates(query.call.id, engines, placed);
     const auto choice = placement::choose_engine(placed, m_settings.placement);
     if (!choice) {
         return std::nullopt;
     }
-    const weighed& one = engines[choice->candidate];
+    const eligible_engine& one = engines[choice->candidate];
     const placement::engine_candidate& candidate = placed.candidates[choice->candidate];
     selected_engine chosen;
     chosen.target = {one.engine->listed.name, one.engine->listed.address};
@@ -471,7 +475,7 @@
         if (one.limit) {
             chosen.begin_by = one.limit->begin_by;
         }
-        chosen.work = work_at(candidate, placed, query);
+        chosen.work = expected_work_at(candidate, placed, query);
         chosen.begin_bound = forecast_of(query.pool).begins_within(chosen.work.tokens_before);
         chosen.stop_by = stop_by(query, one, chosen.work, now);
         chosen.cache_scope = one.prompt->scope;
@@ -481,24 +485,24 @@
         if (!placed.knows_holders) {
             add_home_terms(query, *one.prompt, home, now, chosen);
         }
-        note_move(query, plan.moved_tokens, chosen);
+        set_transfer(query, plan.moved_tokens, chosen);
     }
     return chosen;
 }
 
 void engine_selection::add_state_terms(const selection_query& query, const scoped_prompt& prompt,
-                                       bool from_far, base::monotonic_time now,
+                                       bool cross_region, base::monotonic_time now,
                                        selected_engine& chosen) const {
     const core::prefix::declared_prompt& declared = *query.call.prompt;
     const std::uint64_t shared = declared.shared_tokens();
     if (shared == 0) {
         return;
     }
-    const std::uint64_t in_store = add_store_terms(query, prompt, from_far, chosen);
+    const std::uint64_t in_store = add_store_terms(query, prompt, cross_region, chosen);
     if (chosen.warm_tokens >= shared) {
         return;
     }
-    const known_engine* source = best_source(query, prompt, from_far, chosen, now);
+    const known_engine* source = best_source(query, prompt, cross_region, chosen, now);
     const std::uint64_t at_source = source == nullptr ? 0 : prompt.held_by(source->listed.name);
     if (at_source >= in_store && at_source > chosen.warm_tokens) {
         chosen.fetch_state_from = source->listed.address;
@@ -506,8 +510,8 @@
     }
 }
 
-bool engine_selection::may_give(const known_engine& engine, const selection_query& query,
-                                base::monotonic_time now) const {
+bool engine_selection::may_provide_state(const known_engine& engine, const selection_query& query,
+                                         base::monotonic_time now) const {
     return engine.listed.pool == query.pool && !engine.health.suspended(now) &&
            (m_releases == nullptr || m_releases->may_give_state(engine, now));
 }
@@ -516,20 +520,20 @@
                                       const known_engine* home, base::monotonic_time now,
                                       selected_engine& chosen) const {
     const std::uint64_t shared = query.call.prompt->shared_tokens();
-    const bool knows_enough = std::max(chosen.warm_tokens, prompt.everywhere.most) >= shared;
+    const bool knows_enough = std::max(chosen.warm_tokens, prompt.everywhere.most_tokens) >= shared;
     if (home == nullptr || home->listed.name == chosen.target.name || knows_enough) {
         return;
     }
-    const bool same_weights = keeps_scope(home->listed.name, query.call.prompt->model,
-                                          chosen.expected_version.value_or(0), now);
-    if (same_weights && may_give(*home, query, now)) {
+    const bool same_weights = has_scope_weights(home->listed.name, query.call.prompt->model,
+                                                chosen.expected_version.value_or(0), now);
+    if (same_weights && may_provide_state(*home, query, now)) {
         chosen.fetch_state_from = home->listed.address;
         chosen.fetched_state_zone = home->listed.zone;
     }
 }
 
-void engine_selection::note_move(const selection_query& query, std::uint64_t tokens,
-                                 selected_engine& chosen) const {
+void engine_selection::set_transfer(const selection_query& query, std::uint64_t tokens,
+                                    selected_engine& chosen) const {
     const core::traffic::pool* pool = query.policy.find_pool(query.pool);
     if (!chosen.fetch_state_from || pool == nullptr || !pool->model) {
         return;
@@ -539,20 +543,20 @@
 }
 
 std::vector<core::traffic::state_store> engine_selection::stores_for(
-    const selection_query& query, bool from_far, const base::zone_name& zone) const {
+    const selection_query& query, bool cross_region, const base::zone_name& zone) const {
     const auto& all = query.policy.declared().stores;
     std::vector<core::traffic::state_store> near;
     std::copy_if(all.begin(), all.end(), std::back_inserter(near),
                  [&](const auto& store) { return same_region(store.zone, zone); });
-    const bool far_counts = from_far || (near.empty() && far_state_is_worth_moving());
+    const bool far_counts = cross_region || (near.empty() && cross_region_fetch_pays_off());
     return far_counts ? all : near;
 }
 
 std::uint64_t engine_selection::add_store_terms(const selection_query& query,
-                                                const scoped_prompt& prompt, bool from_far,
+                                                const scoped_prompt& prompt, bool cross_region,
                                                 selected_engine& chosen) const {
     const core::prefix::declared_prompt& declared = *query.call.prompt;
-    const auto stores = stores_for(query, from_far, chosen.zone);
+    const auto stores = stores_for(query, cross_region, chosen.zone);
     const core::traffic::state_store* home = placement::store_of(stores, declared);
     if (home == nullptr) {
         return 0;
@@ -579,16 +583,16 @@
 }
 
 const known_engine* engine_selection::best_source(const selection_query& query,
-                                                  const scoped_prompt& prompt, bool from_far,
+                                                  const scoped_prompt& prompt, bool cross_region,
                                                   const selected_engine& chosen,
                                                   base::monotonic_time now) const {
     const known_engine* best = nullptr;
     std::tuple<std::uint64_t, core::topology::distance> best_rank;
     for (const placement::holding& held : prompt.holdings) {
         const known_engine* engine = m_registry.find(held.holder);
-        const bool sound = engine != nullptr && may_give(*engine, query, now) && held.confirmed &&
-                           held.holder != chosen.target.name;
-        if (!sound || !(from_far || same_region(engine->listed.zone, chosen.zone))) {
+        const bool is_usable = engine != nullptr && may_provide_state(*engine, query, now) &&
+                               held.confirmed && held.holder != chosen.target.name;
+        if (!is_usable || !(cross_region || same_region(engine->listed.zone, chosen.zone))) {
             continue;
         }
         const auto away = m_settings.zones.between(engine->listed.zone, chosen.zone);
--- a/src/ferryroad/relay/selection.hpp
+++ b/src/ferryroad/relay/selection.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// Joins the registry, the named weights and the beliefs on warm state into one question to
-/// `core/placement`, and turns the answer into the terms of a dispatch.
+/// Selects the engine for a request. Builds a query for `core/placement` from the engine registry,
+/// the named weight versions and the cached KV state, and turns the result into the parameters of a
+/// dispatch.
 #pragma once
 
 #include "ferryroad/core/placement/begin_forecast.hpp"
@@ -29,30 +30,32 @@
 
 struct selection_settings {
     base::zone_name zone;
-    core::topology::zone_map zones;  ///< With their regions.
+    core::topology::zone_map zones;  ///< Maps zones to regions.
     core::placement::placement_tunables placement;
-    /// No request is to begin at an engine with older weights later than this after newer ones were
-    /// named; nothing where old weights serve for ever.
+    /// How long after newer weights were named requests may still begin at an engine with older
+    /// ones; nullopt for no limit.
     std::optional<base::duration> outdated_limit;
-    /// From then on older weights cost worth, so that newer ones are preferred.
+    /// How long after newer weights were named older ones are placed without a penalty. Afterwards
+    /// engines with the newest weights are preferred.
     base::duration outdated_grace{};
-    /// Engines of a large pool that a request is looked at for.
+    /// Preselection of engines in a large pool.
     shortlist_limits shortlist;
-    /// Engines without all of the prompt's shared state that a request is weighed for.
-    core::placement::draw_limits drawn;
-    /// A region with fewer sound engines than this has no homes of its own.
-    std::size_t least_homes = 2;
+    /// How many engines that lack some of the prompt's shared state are passed to placement.
+    core::placement::draw_limits sampling;
+    /// Minimum number of usable engines (not suspended, not outdated) in the router's region for a
+    /// prompt's home to be chosen within that region only.
+    std::size_t min_region_home_candidates = 2;
 };
 
-/// What is to be placed.
+/// A request to be placed.
 struct selection_query {
     const relay_call& call;
     const core::traffic::traffic_policy& policy;
     base::pool_name pool;
     const core::traffic::tenant* tenant = nullptr;
     std::vector<base::engine_name> excluded;
-    base::duration target_gap{};  ///< Of the route's streams.
-    bool canary = false;          ///< Chosen for the version on trial, and only for that.
+    base::duration target_gap{};  ///< The route's target for the time between stream events.
+    bool canary = false;          ///< Restricted to engines that run the canary version.
 };
 
 struct selected_engine {
@@ -60,37 +63,41 @@
     base::zone_name zone;
     coordination::release::software_version software;
     std::optional<std::uint64_t> expected_version;
-    /// When newer weights than the engine's may have been named first; nothing where it has the
-    /// newest.
+    /// Earliest time at which weights newer than the engine's may have been named; nullopt if the
+    /// engine has the newest.
     std::optional<base::monotonic_time> outdated_since;
-    /// Until when it must have begun there; nothing where it may begin at any time.
+    /// Deadline for the request to begin at the engine; nullopt if there is none.
     std::optional<base::monotonic_time> begin_by;
-    /// The engine may be told to stop then, as the whole answer is expected before: what waits
-    /// there will not begin later.
+    /// Deadline that may be sent to the engine: the whole answer is expected before it, and the
+    /// engine will not begin the request after it. Nullopt if no such deadline applies.
     std::optional<base::monotonic_time> stop_by;
     core::placement::expected_work work;
-    /// Within what time after it is sent it is expected to begin there, by requests like it.
+    /// Upper bound on the expected time from sending the request until it begins, from the history
+    /// of similar requests.
     base::duration begin_bound{};
     std::optional<std::string> cache_scope;
     std::optional<base::endpoint> fetch_state_from;
-    base::zone_name fetched_state_zone;  ///< Where that lies.
+    base::zone_name fetched_state_zone;  ///< Zone of `fetch_state_from`.
     std::optional<base::endpoint> save_state_to;
-    std::uint64_t warm_tokens = 0;       ///< Believed to be held by the engine.
-    std::uint64_t fetchable_tokens = 0;  ///< The same, held elsewhere and worth moving.
+    std::uint64_t warm_tokens = 0;  ///< Prompt tokens expected in the engine's KV cache.
+    /// Prompt tokens expected in another KV cache that are worth fetching.
+    std::uint64_t fetchable_tokens = 0;
     core::topology::distance away = core::topology::distance::same_zone;
-    double path_ms = 0;                ///< The way there, beyond that within the own zone.
-    std::uint64_t prefill_tokens = 0;  ///< Expected to be read anew.
-    double moved_bytes = 0;            ///< Of state that is believed to be fetched.
+    double path_ms = 0;                ///< Network latency in excess of that within the own zone.
+    std::uint64_t prefill_tokens = 0;  ///< Prompt tokens that the engine is expected to compute.
+    double moved_bytes = 0;            ///< Estimated size of the fetched KV state.
     core::topology::distance moved_over = core::topology::distance::same_zone;
-    bool canary = false;  ///< Chosen for the version on trial.
+    bool canary = false;  ///< The request was selected for the canary version.
     double cost_ms = 0;
     std::size_t candidates = 0;
-    std::uint32_t running = 0;  ///< Requests there, as far as is known here.
+    std::uint32_t running = 0;  ///< Requests at the engine, as far as this router knows.
     std::uint32_t slots = 1;
-    std::uint64_t pending_prefill_tokens = 0;  ///< Of these, before their first event.
+    /// Prompt tokens of those requests whose answer has not begun.
+    std::uint64_t pending_prefill_tokens = 0;
 };
 
-/// Used from the event loop's thread. Collaborators outlive it.
+/// Selects engines and keeps the statistics that selection depends on. Must be used on the event
+/// loop's thread. The objects passed to the constructor must outlive it.
 class engine_selection {
   public:
     engine_selection(engine_registry& registry, const policy_source& policies,
@@ -104,175 +111,201 @@
           m_paths(m_settings.zone, m_settings.zones) {}
 
     void change_settings(selection_settings settings) { m_settings = std::move(settings); }
-    /// Engines get only what releases of their pool's software allow. @param releases outlives
-    /// this.
+    /// From now on, engines get only the requests that the release state of their software allows.
+    /// @param releases must outlive this object.
     void follow_releases(const canary_traffic& releases) { m_releases = &releases; }
-    /// @param keeps whether a connection to an engine is open and free; without it all are.
-    void ask_connections(std::function<bool(const base::endpoint&)> keeps) {
-        m_keeps_connection = std::move(keeps);
+    /// @param is_connected whether an idle connection to an engine is open. If not set, all engines
+    /// count as connected.
+    void ask_connections(std::function<bool(const base::endpoint&)> is_connected) {
+        m_is_connected = std::move(is_connected);
     }
 
-    /// @param knows whether all engines' state is followed; without it all is.
-    void ask_knowledge(std::function<bool()> knows) { m_knows_holders = std::move(knows); }
+    /// @param knows_holders whether the cached state of all engines is followed. If not set, it is
+    /// taken to be.
+    void ask_knowledge(std::function<bool()> knows_holders) {
+        m_knows_holders = std::move(knows_holders);
+    }
 
-    /// Routers that aren't heard send requests, too, and are taken to load each engine as those
-    /// do that are.
-    /// @param present all routers. @param heard those whose load is known, at least 1.
+    /// Scales the known load of each engine: routers whose load isn't received are assumed to load
+    /// the engines as much as those whose load is.
+    /// @param present number of all routers.
+    /// @param heard number of routers whose load is received, at least 1.
     void expect_routers(std::size_t present, std::size_t heard);
 
-    /// An engine of the zone began its answer to a request without a prompt after `took`.
+    /// Records the latency to a zone.
+    /// @param took time until an engine of the zone began its answer to a request without a prompt.
     void record_way(const base::zone_name& zone, base::duration took, base::monotonic_time now) {
         m_paths.record(zone, took, now);
     }
 
-    /// @return nothing where no engine may get the request now.
+    /// @return the selected engine; nullopt if no engine may get the request now.
     std::optional<selected_engine> select(const selection_query& query, base::monotonic_time now);
-    /// @param chosen for the same query. @return whether its engine may get the request still: time
-    /// has passed since. Load and cost aren't weighed anew.
+    /// Checks a selection again after some time has passed. Load and cost are not recomputed.
+    /// @param chosen selected for the same query.
+    /// @return whether its engine may still get the request.
     bool still_serves(const selected_engine& chosen, const selection_query& query,
                       base::monotonic_time now) const;
-    /// The engine reads the prompt of a dispatch: it will hold the prompt's parts.
+    /// Records that the engine computes the prompt of a dispatch and is expected to hold the
+    /// prompt's parts in its KV cache.
     /// @return these parts.
     std::vector<core::prefix::scoped_part> record_dispatch(const relay_call& call,
                                                            const selected_engine& chosen,
                                                            base::monotonic_time now);
 
-    /// A stream of the pool ended. @param target 0 where the route tells none.
+    /// Records the longest gap between events of a stream that ended.
+    /// @param target the route's target gap; 0 if it has none, then nothing is recorded.
     void record_gap(const base::pool_name& pool, base::duration longest, base::duration target) {
         if (target > base::duration{}) {
             m_gap_pressures[pool].record(longest, target);
         }
     }
 
-    /// @return until when requests may begin under weights of `version`, by what has been named
-    /// until now; nothing where they are the newest.
+    /// @return the deadline for requests to begin with weights of `version`, given the versions
+    /// named so far; nullopt if `version` is the newest or there is no limit.
     std::optional<base::monotonic_time> begin_by(const std::string& model,
                                                  std::uint64_t version) const;
-    /// @return whether there is a limit on how long older weights may be used.
+    /// @return whether there is a limit on how long outdated weights may be used.
     bool limits_outdated() const { return m_settings.outdated_limit.has_value(); }
-    /// @return until when requests may begin under the newest weights, whatever is named from now
-    /// on; nothing without a limit or a confirmation.
+    /// @return the earliest deadline that naming newer weights from now on could impose on requests
+    /// that use the newest weights known; nullopt without a limit or a confirmed policy.
     std::optional<base::monotonic_time> earliest_limit() const;
-    /// A request of the pool with a prompt began, or hadn't begun, `took` after it was sent.
+    /// Records how long a request with a prompt took to begin, or waited without beginning.
+    /// @param took time since the request was sent.
     void record_beginning(const base::pool_name& pool, const core::placement::expected_work& work,
                           base::duration took) {
         m_forecasts[pool].began(work.tokens_before, took);
     }
-    /// Its answer ended `took` after it had begun.
+    /// Records how long an answer took, from its beginning to its end.
     void record_run(const base::pool_name& pool, const core::placement::expected_work& work,
                     base::duration took) {
         m_forecasts[pool].ended(work.output_tokens, took);
     }
 
   private:
-    /// Who of some holders can give state away; what is only expected is being read still.
-    struct givers {
-        base::engine_name best;         ///< Holds the most.
-        std::uint64_t most = 0;         ///< Tokens there.
-        std::uint64_t most_beside = 0;  ///< The most that anyone else holds.
+    /// The two largest holdings among those that state can be fetched from. Expected holdings don't
+    /// count: their engines are still computing the state.
+    struct state_sources {
+        base::engine_name best;           ///< The holder of the most tokens.
+        std::uint64_t most_tokens = 0;    ///< Tokens held by `best`.
+        std::uint64_t second_tokens = 0;  ///< The most tokens of any other holder.
 
         void add(const core::placement::holding& one);
-        /// @return the most that anyone but `holder` can give away.
-        std::uint64_t held_beside(const base::engine_name& holder) const {
-            return holder == best ? most_beside : most;
+        /// @return the most tokens that any holder but `holder` has.
+        std::uint64_t most_tokens_excluding(const base::engine_name& holder) const {
+            return holder == best ? second_tokens : most_tokens;
         }
     };
-    /// The prompt under the weights of some engines, with those that hold its beginning.
+    /// The prompt in the cache scope of one version of the weights, and the holders of its prefix.
     struct scoped_prompt {
         std::string scope;
         std::vector<core::prefix::scoped_part> parts;
-        std::vector<core::placement::holding> holdings;  ///< In the order of their holders' names.
-        givers everywhere;
-        std::map<base::region_name, givers> by_region;  ///< Only where there are several.
+        std::vector<core::placement::holding> holdings;  ///< Sorted by holder name.
+        state_sources everywhere;
+        /// Filled only if there are several regions.
+        std::map<base::region_name, state_sources> by_region;
 
         std::uint64_t held_by(const base::engine_name& holder) const;
     };
-    /// By the version of the weights.
+    /// Keyed by the version of the weights.
     using scoped_prompts = std::map<std::uint64_t, scoped_prompt>;
-    struct weighed {
+    /// An engine that may get the request, with the inputs of its cost.
+    struct eligible_engine {
         const known_engine* engine = nullptr;
-        core::placement::shared_load others;    ///< Load of other routers.
-        const scoped_prompt* prompt = nullptr;  ///< Null without a prompt.
-        /// Of a request with a prompt, where the engine's weights are outdated.
+        core::placement::shared_load others;    ///< Load from other routers.
+        const scoped_prompt* prompt = nullptr;  ///< Null if the request has no prompt.
+        /// Set for a request with a prompt if the engine's weights are outdated.
         std::optional<base::monotonic_time> outdated_since;
         std::optional<core::placement::begin_limit> limit;
     };
 
     bool may_serve(const known_engine& engine, const selection_query& query,
                    base::monotonic_time now) const;
-    /// @return the zone of an engine or a store; nothing where neither is listed.
+    /// @return the zone of an engine or a state store; nullopt if neither is listed.
     std::optional<base::zone_name> zone_of(const selection_query& query,
                                            const base::engine_name& holder) const;
-    /// An order for other weights makes an engine drop what it kept. What it reads again of
-    /// requests that it had begun before is kept in their scope, but made under its new weights.
-    /// @return whether what the holder tells of a scope was made under the scope's weights; of a
-    /// store, which loads none, it is taken to be.
-    bool keeps_scope(const base::engine_name& holder, const std::string& model,
-                     std::uint64_t version, base::monotonic_time now) const;
-    void find_givers(const selection_query& query, scoped_prompt& prompt) const;
+    /// Loading other weights makes an engine drop its KV cache. State that it then recomputes for
+    /// requests begun before is reported under their old scope, although it was computed with the
+    /// new weights and must not be used.
+    /// @return whether the state that the holder reports for a scope was computed with the scope's
+    /// weights. Always true for a state store, as it loads no weights.
+    bool has_scope_weights(const base::engine_name& holder, const std::string& model,
+                           std::uint64_t version, base::monotonic_time now) const;
+    void find_state_sources(const selection_query& query, scoped_prompt& prompt) const;
     bool same_region(const base::zone_name& one, const base::zone_name& other) const {
         return m_settings.zones.same_region(one, other);
     }
-    /// @return whether state of another region costs less to move than to read.
-    bool far_state_is_worth_moving() const;
-    scoped_prompt scoped(const selection_query& query, std::uint64_t version,
-                         base::monotonic_time now) const;
+    /// @return whether fetching state from another region costs less than computing it.
+    bool cross_region_fetch_pays_off() const;
+    scoped_prompt make_scoped_prompt(const selection_query& query, std::uint64_t version,
+                                     base::monotonic_time now) const;
     const scoped_prompt& prompt_under(std::uint64_t version, const selection_query& query,
                                       scoped_prompts& prompts, base::monotonic_time now) const;
-    /// @return the engines that are looked at for the request, in the order of their names.
-    std::vector<const known_engine*> considered(const selection_query& query,
-                                                scoped_prompts& prompts,
-                                                base::monotonic_time now) const;
-    /// @return those that hold most of the prompt under the weights of the listed ones.
-    std::vector<const known_engine*> holders_among(const std::vector<const known_engine*>& listed,
-                                                   const selection_query& query,
-                                                   scoped_prompts& prompts,
-                                                   base::monotonic_time now) const;
-    std::vector<weighed> eligible(const selection_query& query, scoped_prompts& prompts,
-                                  base::monotonic_time now) const;
-    /// @return the home, or null where there is none.
-    const known_engine* mark_home(const std::vector<weighed>& engines,
+    /// @return the engines that are considered for the request, sorted by name.
+    std::vector<const known_engine*> shortlisted_engines(const selection_query& query,
+                                                         scoped_prompts& prompts,
+                                                         base::monotonic_time now) const;
+    /// @return the engines of the pool that hold the most of the prompt's state, for each version
+    /// of the weights that a listed engine has.
+    std::vector<const known_engine*> top_holders(const std::vector<const known_engine*>& listed,
+                                                 const selection_query& query,
+                                                 scoped_prompts& prompts,
+                                                 base::monotonic_time now) const;
+    std::vector<eligible_engine> eligible_engines(const selection_query& query,
+                                                  scoped_prompts& prompts,
+                                                  base::monotonic_time now) const;
+    /// Marks the prompt's home among the candidates.
+    /// @return the home, or null if there is none.
+    const known_engine* mark_home(const std::vector<eligible_engine>& engines,
                                   const core::prefix::declared_prompt& prompt,
                                   core::placement::placement_query& placed) const;
-    /// Leaves the engines that hold the prompt's shared parts, its home, and some that are drawn:
-    /// suspended ones only where there are too few others, those of other regions in a small part
-    /// where the own has enough.
-    void draw(const base::request_id& id, std::vector<weighed>& engines,
-              core::placement::placement_query& placed) const;
+    /// Reduces the candidates to the home, the engines that hold all of the prompt's shared parts,
+    /// and a sample of the others. The sample contains suspended engines only if there are too few
+    /// others, and only a small share of other regions if the own region has enough engines.
+    void sample_candidates(const base::request_id& id, std::vector<eligible_engine>& engines,
+                           core::placement::placement_query& placed) const;
     const core::placement::begin_forecast& forecast_of(const base::pool_name& pool) const;
-    core::placement::expected_work work_at(const core::placement::engine_candidate& candidate,
-                                           const core::placement::placement_query& placed,
-                                           const selection_query& query) const;
-    /// Leaves out engines at which the request isn't expected to begin before their weights are
-    /// too old, and notes the limit of the other outdated ones.
-    void keep_timely(const selection_query& query, base::monotonic_time now,
-                     std::vector<weighed>& engines, core::placement::placement_query& placed) const;
-    /// @return until when an engine is told to work at a request, for the sake of its weights.
-    std::optional<base::monotonic_time> stop_by(const selection_query& query, const weighed& one,
+    core::placement::expected_work expected_work_at(
+        const core::placement::engine_candidate& candidate,
+        const core::placement::placement_query& placed, const selection_query& query) const;
+    /// Removes the engines with outdated weights at which the request isn't expected to begin
+    /// before its deadline, and sets the limit of the remaining outdated ones.
+    void remove_late_engines(const selection_query& query, base::monotonic_time now,
+                             std::vector<eligible_engine>& engines,
+                             core::placement::placement_query& placed) const;
+    /// @return the deadline sent to the engine so that outdated weights are not used beyond their
+    /// limit; nullopt if none is sent.
+    std::optional<base::monotonic_time> stop_by(const selection_query& query,
+                                                const eligible_engine& one,
                                                 const core::placement::expected_work& work,
                                                 base::monotonic_time now) const;
-    core::placement::engine_candidate candidate_of(const weighed& one,
+    core::placement::engine_candidate candidate_of(const eligible_engine& one,
                                                    base::monotonic_time now) const;
-    /// @param from_far the state is worth moving from another region.
-    void add_state_terms(const selection_query& query, const scoped_prompt& prompt, bool from_far,
-                         base::monotonic_time now, selected_engine& chosen) const;
-    /// @return the most that one store holds of the prompt.
+    /// Sets where the engine fetches the prompt's state from and saves it to.
+    /// @param cross_region whether state may be fetched from another region.
+    void add_state_terms(const selection_query& query, const scoped_prompt& prompt,
+                         bool cross_region, base::monotonic_time now,
+                         selected_engine& chosen) const;
+    /// Sets the state store that the prompt is fetched from and saved to.
+    /// @return the most tokens of the prompt that one store holds.
     std::uint64_t add_store_terms(const selection_query& query, const scoped_prompt& prompt,
-                                  bool from_far, selected_engine& chosen) const;
-    /// What nobody is known to hold may be at the home: it is fetched from there.
+                                  bool cross_region, selected_engine& chosen) const;
+    /// Makes the engine fetch from the home if no holder of the whole shared prompt is known: the
+    /// home may hold it.
     void add_home_terms(const selection_query& query, const scoped_prompt& prompt,
                         const known_engine* home, base::monotonic_time now,
                         selected_engine& chosen) const;
-    bool may_give(const known_engine& engine, const selection_query& query,
-                  base::monotonic_time now) const;
-    /// Notes how much is fetched, and how far, for logs and metrics.
-    void note_move(const selection_query& query, std::uint64_t tokens,
-                   selected_engine& chosen) const;
-    /// @return the stores whose state is worth moving to the engine's zone.
-    std::vector<core::traffic::state_store> stores_for(const selection_query& query, bool from_far,
+    bool may_provide_state(const known_engine& engine, const selection_query& query,
+                           base::monotonic_time now) const;
+    /// Sets how many bytes are fetched and over what distance, for logs and metrics.
+    void set_transfer(const selection_query& query, std::uint64_t tokens,
+                      selected_engine& chosen) const;
+    /// @return the stores whose state is worth fetching into the zone.
+    std::vector<core::traffic::state_store> stores_for(const selection_query& query,
+                                                       bool cross_region,
                                                        const base::zone_name& zone) const;
+    /// @return the engine with the most of the prompt's state, the nearest of equals; null if none.
     const known_engine* best_source(const selection_query& query, const scoped_prompt& prompt,
-                                    bool from_far, const selected_engine& chosen,
+                                    bool cross_region, const selected_engine& chosen,
                                     base::monotonic_time now) const;
 
     engine_registry& m_registry;
@@ -284,16 +317,16 @@
     std::map<base::pool_name, core::placement::gap_pressure> m_gap_pressures;
     std::map<base::pool_name, core::placement::begin_forecast> m_forecasts;
     core::topology::path_costs m_paths;
-    std::function<bool(const base::endpoint&)> m_keeps_connection;
+    std::function<bool(const base::endpoint&)> m_is_connected;
     std::function<bool()> m_knows_holders;
-    double m_unseen_load = 1;
+    double m_unseen_load_factor = 1;  ///< Applied to the load of engines; see `expect_routers`.
 };
 
-/// @return the name by which a store's state is remembered.
+/// @return the holder name under which a store's state is tracked.
 base::engine_name holder_of(const core::traffic::state_store& store);
 
-/// @return the scope in which prompt state may be shared: by tenant where it is isolated, and
-/// always by the version of the weights.
+/// @return the scope in which prompt state may be shared: a version of the weights and, for an
+/// isolated tenant, that tenant.
 std::string cache_scope_of(const core::traffic::tenant* tenant, std::uint64_t version);
 
 }  // namespace ferryroad::relay
--- a/test/relay/selection_regions_test.cpp
+++ b/test/relay/selection_regions_test.cpp
@@ -1,5 +1,5 @@
-/// Selection over regions: where requests go, whom they fetch from, and what holds when a region is
-/// dark, alone or unknown.
+/// Selection across regions: where requests are sent, where they fetch KV state from, and what
+/// happens when a region's engines fail, only one region has engines, or a zone is unknown.
 #include "ferryroad/relay/selection.hpp"
 
 #include <criterion/criterion.h>
@@ -18,7 +18,7 @@
 
 constexpr base::monotonic_time start{100s};
 
-/// Zones a1 and a2 in region a, b1 in b, c1 in c; this router stands in a1.
+/// Zones a1 and a2 are in region a, b1 in b, c1 in c; this router is in a1.
 struct fixture {
     engine_registry registry;
     policy_source policies{policy_bounds{}};
@@ -84,7 +84,7 @@
                                     std::move(excluded)};
         return selection.select(query, now);
     }
-    std::map<distance, int> spread(int requests, base::monotonic_time now = start) {
+    std::map<distance, int> distances_of(int requests, base::monotonic_time now = start) {
         std::map<distance, int> counts;
         for (int number = 0; number < requests; ++number) {
             call.id = base::request_id("request-" + std::to_string(number));
@@ -107,16 +107,16 @@
 
 }  // namespace
 
-Test(selection_regions, requests_stay_in_the_region_and_mostly_in_the_zone) {
+Test(selection_regions, prefers_the_own_region_and_zone) {
     fixture at;
     at.short_prompt();
     at.add_everywhere(30);
-    auto counts = at.spread(200);
+    auto counts = at.distances_of(200);
     cr_assert_eq(counts[distance::other_region], 0);
     cr_assert_geq(counts[distance::same_zone], 190);
 }
 
-Test(selection_regions, of_many_engines_the_own_region_is_drawn_well_and_others_a_little) {
+Test(selection_regions, sample_covers_many_engines_of_the_own_region) {
     fixture at;
     at.short_prompt();
     at.add_everywhere(30);
@@ -125,37 +125,37 @@
     for (int number = 0; number < 100; ++number) {
         at.call.id = base::request_id("request-" + std::to_string(number));
         const auto chosen = at.select();
-        cr_assert_eq(chosen->candidates, settings.drawn.engines);
+        cr_assert_eq(chosen->candidates, settings.sampling.engines);
         own.insert(chosen->target.name.value);
     }
     cr_assert_geq(own.size(), 20);
 }
 
-Test(selection_regions, a_dark_region_is_left_and_come_back_to) {
+Test(selection_regions, leaves_a_failed_region_and_returns_to_it) {
     fixture at;
     at.short_prompt();
     at.add_everywhere(30);
     at.suspend("a");
-    auto counts = at.spread(100);
+    auto counts = at.distances_of(100);
     cr_assert_eq(counts[distance::other_region], 100);
-    counts = at.spread(100, start + 60s);  // They are tried again.
+    counts = at.distances_of(100, start + 60s);  // The suspensions have expired.
     cr_assert_eq(counts[distance::other_region], 0);
 }
 
-Test(selection_regions, a_region_without_engines_of_the_pool_is_served_by_others) {
+Test(selection_regions, uses_other_regions_if_the_own_has_no_engines) {
     fixture at;
     at.add("b1-0", "b1");
     at.add("c1-0", "c1");
     cr_assert(at.select()->away == distance::other_region);
 }
 
-Test(selection_regions, a_short_region_spills_only_what_it_lacks) {
+Test(selection_regions, overflows_to_other_regions_only_beyond_local_capacity) {
     fixture at;
     at.short_prompt();
     at.add_everywhere(10);
     std::vector<std::unique_ptr<engine_load>> running;
     std::map<distance, int> counts;
-    for (int number = 0; number < 160; ++number) {  // Of 160 slots in region a, and 320 in all.
+    for (int number = 0; number < 160; ++number) {  // Region a has 160 slots, all regions 320.
         at.call.id = base::request_id("request-" + std::to_string(number));
         const auto chosen = at.select();
         ++counts[chosen->away];
@@ -166,7 +166,7 @@
     cr_assert_gt(counts[distance::other_region], 0);
 }
 
-Test(selection_regions, a_retry_goes_to_the_nearest_other_engine) {
+Test(selection_regions, retries_at_the_nearest_other_engine) {
     fixture at;
     at.short_prompt();
     for (const char* zone : {"a1", "a2", "b1"}) {
@@ -178,7 +178,7 @@
               distance::other_region);
 }
 
-Test(selection_regions, a_home_lies_in_the_region_unless_that_has_too_few_engines) {
+Test(selection_regions, home_is_in_the_own_region_unless_it_has_too_few_engines) {
     fixture at;
     at.add_everywhere(3);
     std::set<std::string> homes;
@@ -186,7 +186,7 @@
         at.call.prompt->parts[1].id = "b" + std::to_string(number);
         homes.insert(at.select()->target.name.value);
     }
-    // Whatever the home of a prompt would be over all, in the own zone the requests meet.
+    // Homes are chosen from the own region's engines, whichever would rank highest overall.
     cr_assert_leq(homes.size(), 3);
     fixture few;
     few.add("a1-0", "a1");
@@ -195,7 +195,7 @@
     cr_assert(few.select()->target.name.value == "b1-0");
 }
 
-Test(selection_regions, a_part_is_fetched_from_the_nearest_holder) {
+Test(selection_regions, fetches_from_the_nearest_holder) {
     fixture at;
     at.add_everywhere(2);
     for (const char* holder : {"b1-0", "a2-0"}) {
@@ -209,7 +209,7 @@
     cr_assert_float_eq(chosen->moved_bytes, 9000 * 100, 1);
 }
 
-Test(selection_regions, another_regions_part_is_moved_only_where_that_beats_reading) {
+Test(selection_regions, fetches_across_regions_only_if_cheaper_than_computing) {
     selection_settings settings = fixture::regions();
     for (const double factor : {5.0, 50.0}) {
         settings.placement.far_fetch_factor = factor;
@@ -223,14 +223,14 @@
     }
 }
 
-Test(selection_regions, a_request_goes_to_a_holder_in_another_region) {
+Test(selection_regions, selects_a_holder_in_another_region) {
     fixture at;
     at.add_everywhere(2);
     at.hold("b1-0");
     cr_assert(at.select()->target.name.value == "b1-0");
 }
 
-Test(selection_regions, of_several_stores_the_regions_own_serves_it) {
+Test(selection_regions, uses_the_store_of_the_own_region) {
     fixture at;
     at.add_everywhere(2);
     at.declare({store("10.9.0.1", "b1"), store("10.9.0.2", "a2"), store("10.9.0.3", "c1")});
@@ -242,7 +242,7 @@
     }
 }
 
-Test(selection_regions, a_single_far_store_serves_where_a_move_beats_reading) {
+Test(selection_regions, uses_a_store_of_another_region_if_cheaper_than_computing) {
     selection_settings settings = fixture::regions();
     for (const double factor : {5.0, 50.0}) {
         settings.placement.far_fetch_factor = factor;
@@ -253,7 +253,7 @@
     }
 }
 
-Test(selection_regions, an_engine_in_a_zone_that_settings_lack_is_far) {
+Test(selection_regions, treats_an_unknown_zone_as_another_region) {
     fixture at;
     at.short_prompt();
     at.add("new", "z9");
@@ -262,7 +262,7 @@
     cr_assert(at.select()->target.name.value == "own");
 }
 
-Test(selection_regions, an_observed_long_way_counts) {
+Test(selection_regions, counts_measured_latency_to_a_zone) {
     fixture at;
     at.short_prompt();
     for (const char* zone : {"b1", "c1"}) {
--- a/test/relay/selection_test.cpp
+++ b/test/relay/selection_test.cpp
@@ -1,4 +1,4 @@
-/// Which engines may get a request, and the terms of its dispatch.
+/// Which engines are selected for a request, and the parameters of its dispatch.
 #include "ferryroad/relay/selection.hpp"
 
 #include <criterion/criterion.h>
@@ -69,7 +69,7 @@
 
 }  // namespace
 
-Test(selection, leaving_and_excluded_engines_and_other_pools_get_nothing) {
+Test(selection, skips_leaving_and_excluded_engines_and_other_pools) {
     fixture at;
     listed_engine leaving = at.registry.find(base::engine_name("e1"))->listed;
     leaving.leaving = true;
@@ -81,44 +81,44 @@
     cr_assert_not(at.select(nullptr, {base::engine_name("e3")}).has_value());
 }
 
-Test(selection, the_scope_is_that_of_the_weights_and_of_isolated_tenants) {
+Test(selection, cache_scope_depends_on_the_weights_and_isolated_tenants) {
     fixture at;
     cr_assert(*at.select(&at.open_tenant)->cache_scope == "shared/1");
     cr_assert(*at.select(&at.isolated_tenant)->cache_scope == "t-i/1");
     cr_assert_eq(at.select()->expected_version, 1U);
 }
 
-Test(selection, outdated_engines_are_avoided_and_then_excluded) {
+Test(selection, avoids_and_finally_excludes_outdated_engines) {
     fixture at;
     at.call.prompt->parts = {{"a", 100}, {"own", 500}};
     at.call.prompt->input_tokens = 600;
     at.policies.name_version("m", 2);
     at.add("e3", "z2", 2);
     cr_assert(at.select(nullptr, {}, start + 100ms)->target.name == base::engine_name("e3"));
-    // Reading 600 tokens takes 67 ms by the first guess, generating 20 of them 400 ms.
+    // By the initial estimate, computing 600 tokens takes 67 ms and generating 20 tokens 400 ms.
     const auto timely = at.select(nullptr, {base::engine_name("e3")}, start + 6100ms);
     cr_assert(timely->begin_by == start + 7s);
     cr_assert(timely->stop_by == start + 7s);
-    const auto hardly = at.select(nullptr, {base::engine_name("e3")}, start + 6850ms);
-    cr_assert(hardly->begin_by == start + 7s);
-    cr_assert_not(hardly->stop_by.has_value());
+    const auto late = at.select(nullptr, {base::engine_name("e3")}, start + 6850ms);
+    cr_assert(late->begin_by == start + 7s);
+    cr_assert_not(late->stop_by.has_value());
     cr_assert_not(at.select(nullptr, {base::engine_name("e3")}, start + 6950ms).has_value());
     cr_assert_not(at.select(nullptr, {base::engine_name("e3")}, start + 7s).has_value());
 }
 
-Test(selection, what_waits_at_an_outdated_engine_counts_against_its_time) {
+Test(selection, pending_work_counts_against_the_deadline_of_outdated_engines) {
     fixture at;
     at.policies.name_version("m", 2);
     for (const char* name : {"e1", "e2"}) {
         at.registry.find(base::engine_name(name))->pending_prefill_tokens = 105000;
     }
-    // 105,000 tokens take 3 s to read by the first guess.
+    // By the initial estimate, computing 105,000 tokens takes 3 s.
     cr_assert(at.select(nullptr, {}, start + 5s)->target.name == base::engine_name("e3"));
     cr_assert(at.select(nullptr, {base::engine_name("e3")}, start + 2s).has_value());
     cr_assert_not(at.select(nullptr, {base::engine_name("e3")}, start + 4s).has_value());
 }
 
-Test(selection, what_requests_took_to_begin_counts_against_an_outdated_engines_time) {
+Test(selection, begin_times_count_against_the_deadline_of_outdated_engines) {
     fixture at;
     at.policies.name_version("m", 2);
     cr_assert(at.select(nullptr, {}, start + 5s).has_value());
@@ -130,18 +130,19 @@
     cr_assert_not(at.select(nullptr, {}, start + 5s).has_value());
 }
 
-Test(selection, engines_with_the_newest_weights_have_no_limit_but_an_end_while_all_is_known) {
+Test(selection, newest_weights_have_a_stop_deadline_while_the_policy_is_fresh) {
     fixture at;
     cr_assert_not(at.select()->begin_by.has_value());
-    cr_assert(at.select()->stop_by == start + 7s, "newer ones may be named at once");
-    cr_assert_not(at.select(nullptr, {}, start + 3s)->stop_by.has_value(), "the owner is away");
+    cr_assert(at.select()->stop_by == start + 7s, "newer weights may be named at any time");
+    cr_assert_not(at.select(nullptr, {}, start + 3s)->stop_by.has_value(),
+                  "the policy's owner is unreachable");
     at.policies.name_version("m", 2);
     cr_assert(at.select()->begin_by == start + 7s);
     at.add("e1", "z1", 2);
     cr_assert_not(at.select(nullptr, {}, start + 2s)->begin_by.has_value());
 }
 
-Test(selection, what_was_chosen_serves_for_as_long_as_it_would_be_eligible) {
+Test(selection, a_selection_is_valid_while_its_engine_is_eligible) {
     fixture at;
     const selection_query query{at.call, *at.policies.current(), base::pool_name("p"), nullptr, {}};
     const selected_engine chosen = *at.select();
@@ -151,7 +152,7 @@
     cr_assert(at.selection.still_serves(chosen, query, start + 6900ms));
     cr_assert_not(at.selection.still_serves(chosen, query, start + 7s));
     at.add(name, "z1", 2);
-    cr_assert_not(at.selection.still_serves(chosen, query, start), "other weights than expected");
+    cr_assert_not(at.selection.still_serves(chosen, query, start), "the engine's weights changed");
     const selected_engine again = *at.select(nullptr, {}, start + 7s);
     cr_assert(at.selection.still_serves(again, query, start + 8s));
     at.registry.find(again.target.name)->listed.leaving = true;
@@ -160,7 +161,7 @@
     cr_assert_not(at.selection.still_serves(again, query, start + 8s));
 }
 
-Test(selection, requests_of_one_prefix_meet_at_one_engine) {
+Test(selection, requests_with_a_common_prefix_share_an_engine) {
     fixture at;
     const std::string first = at.select()->target.name.value;
     for (int index = 0; index < 20; ++index) {
@@ -169,7 +170,7 @@
     }
 }
 
-Test(selection, state_is_fetched_from_the_best_holder_and_else_from_the_store) {
+Test(selection, fetches_from_the_best_holder_or_else_the_store) {
     fixture at;
     const auto cold = at.select();
     cr_assert(cold->fetch_state_from->to_string() == "10.0.0.9:9");
@@ -180,7 +181,7 @@
     cr_assert_eq(warm->fetchable_tokens, 9000);
 }
 
-Test(selection, what_an_engine_is_reading_still_is_waited_for_there) {
+Test(selection, state_being_computed_counts_only_at_its_engine) {
     fixture at;
     selected_engine elsewhere = *at.select();
     elsewhere.target.name.value = "e3";
@@ -192,7 +193,7 @@
     cr_assert_eq(other->prefill_tokens, 9500);
 }
 
-Test(selection, streams_that_pause_make_long_prompts_go_elsewhere) {
+Test(selection, long_stream_gaps_redirect_long_prompts) {
     fixture at;
     at.call.prompt->parts = {{"own", 12000}};
     at.call.prompt->input_tokens = 12000;
@@ -211,17 +212,17 @@
     }
     cr_assert(target_of() == first);
     at.selection.record_gap(base::pool_name("p"), 290ms, 300ms);
-    cr_assert(target_of() == first);  // One stream that paused says little.
+    cr_assert(target_of() == first);  // A single stream with long gaps has little influence.
     for (int stream = 0; stream < 300; ++stream) {
         at.selection.record_gap(base::pool_name("p"), 290ms, 300ms);
     }
-    cr_assert(target_of() == "e3");  // One paused stream is more than the way to another zone.
+    cr_assert(target_of() == "e3");  // Long gaps outweigh the latency to another zone.
     at.loads.state(base::router_name("r2"), {{base::engine_name(first), 4, 0, {}}}, start);
     at.loads.state(base::router_name("r3"), {{base::engine_name(second), 4, 0, {}}}, start);
     cr_assert(target_of() == "e3");
 }
 
-Test(selection, what_the_store_holds_is_not_saved_again) {
+Test(selection, does_not_save_state_that_the_store_holds) {
     fixture at;
     const base::engine_name store = holder_of(at.policies.current()->declared().stores.front());
     at.warm.follow(store, true);
@@ -236,7 +237,7 @@
     cr_assert_eq(saved->prefill_tokens, 500);
 }
 
-Test(selection, each_prompt_has_its_store_and_is_fetched_from_whichever_holds_it) {
+Test(selection, saves_to_the_assigned_store_and_fetches_from_any_holding_store) {
     fixture at;
     core::traffic::declaration declared;
     declared.version = 2;
@@ -263,7 +264,7 @@
     }
 }
 
-Test(selection, the_load_of_other_routers_counts) {
+Test(selection, counts_the_load_of_other_routers) {
     fixture at;
     at.call.prompt->parts = {{"own", 600}};
     at.call.prompt->input_tokens = 600;
@@ -272,7 +273,7 @@
     cr_assert(at.select()->target.name.value != first);
 }
 
-Test(selection, routers_that_are_not_heard_count_as_those_that_are) {
+Test(selection, extrapolates_the_load_of_unseen_routers) {
     fixture at;
     at.hold("e1", "shared/1");
     const engine_load load(at.registry, base::engine_name("e1"), 6000);
@@ -282,7 +283,7 @@
     cr_assert_str_neq(at.select()->target.name.value.c_str(), "e1");
 }
 
-Test(selection, an_engine_that_refused_another_router_is_passed_over) {
+Test(selection, avoids_engines_that_refuse_other_routers) {
     fixture at;
     const std::string home = at.select()->target.name.value;
     at.loads.state(base::router_name("r2"), {{base::engine_name(home), 0, 0, 500ms}}, start);
@@ -290,7 +291,7 @@
     cr_assert(at.select(nullptr, {}, start + 600ms)->target.name.value == home);
 }
 
-Test(selection, state_of_another_scope_is_no_source) {
+Test(selection, does_not_fetch_state_of_another_scope) {
     fixture at;
     at.hold("e3", "t-i/1");
     cr_assert_eq(at.select(&at.isolated_tenant)->warm_tokens, 9000);
@@ -299,7 +300,7 @@
     cr_assert_eq(other->warm_tokens, 0);
 }
 
-Test(selection, an_engine_that_refuses_for_now_is_passed_over) {
+Test(selection, avoids_an_engine_that_refuses_work) {
     fixture at;
     const std::string home = at.select()->target.name.value;
     at.registry.find(base::engine_name(home))->refuses_until = start + 1s;
@@ -308,18 +309,20 @@
     cr_assert(at.registry.find(base::engine_name(home))->refuses_until < start);
 }
 
-Test(selection, an_engine_that_is_about_to_load_is_passed_over_until_it_has) {
+Test(selection, avoids_an_engine_until_it_has_loaded_new_weights) {
     fixture at;
     const base::engine_name home = at.select()->target.name;
     at.registry.expect_weights(home, "m", 2, start + 1s);
     cr_assert(at.select()->target.name != home);
-    cr_assert(at.select(nullptr, {}, start + 1s)->target.name == home, "no news: asked again");
+    cr_assert(at.select(nullptr, {}, start + 1s)->target.name == home,
+              "the expectation expired without newer weights");
     at.registry.saw_version(home, "m", 2);
     at.registry.expect_weights(home, "m", 2, start + 1s);
-    cr_assert(at.registry.find(home)->loading_until < start, "late news of what has ended");
+    cr_assert(at.registry.find(home)->loading_until < start,
+              "a late notice of weights that are already loaded");
 }
 
-Test(engine_registry, loads_are_counted_while_requests_live) {
+Test(engine_registry, counts_load_while_requests_run) {
     fixture at;
     const base::engine_name name("e1");
     {
@@ -334,7 +337,7 @@
     at.registry.remove(name);
 }
 
-Test(engine_registry, a_whole_list_removes_what_it_lacks) {
+Test(engine_registry, replace_all_removes_unlisted_engines) {
     fixture at;
     cr_assert_not(at.registry.known());
     const listed_engine kept = at.registry.find(base::engine_name("e2"))->listed;
@@ -343,7 +346,7 @@
     cr_assert_eq(at.registry.engines().size(), 1);
 }
 
-Test(selection, requests_meet_at_few_of_many_equal_engines_by_their_ids) {
+Test(selection, samples_equal_engines_by_request_id) {
     fixture at;
     at.call.prompt->parts = {{"own", 600}};
     at.call.prompt->input_tokens = 600;
@@ -354,7 +357,7 @@
     for (int number = 0; number < 60; ++number) {
         at.call.id = base::request_id("request-" + std::to_string(number));
         const auto selected = at.select();
-        cr_assert_leq(selected->candidates, selection_settings{}.drawn.engines + 1);
+        cr_assert_leq(selected->candidates, selection_settings{}.sampling.engines + 1);
         chosen.insert(selected->target.name.value);
     }
     cr_assert_geq(chosen.size(), 20);
@@ -362,7 +365,7 @@
     cr_assert(at.select()->target.name == at.select()->target.name);
 }
 
-Test(selection, a_holder_is_weighed_whether_it_is_drawn_or_not) {
+Test(selection, considers_holders_outside_the_sample) {
     fixture at;
     for (int number = 10; number < 110; ++number) {
         at.add(("e" + std::to_string(number)).c_str(), "z1", 1);
@@ -374,9 +377,9 @@
     }
 }
 
-/// A router keeps connections to some of many equal engines: it stays with these while they are no
-/// more loaded, so that it opens few anew.
-Test(selection, of_equals_those_are_taken_that_a_connection_is_kept_to) {
+/// Among engines of equal cost, those with an open connection are preferred, so that a router opens
+/// few new connections.
+Test(selection, prefers_engines_with_an_open_connection) {
     fixture at;
     at.registry.replace_all({});
     for (int index = 10; index < 90; ++index) {
@@ -394,10 +397,11 @@
         at.registry.find(base::engine_name("e" + std::to_string(index)))->pending_prefill_tokens =
             900;
     }
-    cr_assert_not(at.select()->target.name.value.ends_with("7"), "a prompt waits there");
+    cr_assert_not(at.select()->target.name.value.ends_with("7"),
+                  "a pending prompt costs more than a new connection");
 }
 
-Test(selection, sound_engines_are_drawn_before_suspended_ones) {
+Test(selection, samples_suspended_engines_last) {
     fixture at;
     at.call.prompt->parts = {{"own", 600}};
     at.call.prompt->input_tokens = 600;
@@ -415,7 +419,7 @@
     }
 }
 
-Test(selection, software_that_is_not_released_gets_nothing_and_a_refused_one_gives_nothing) {
+Test(selection, unreleased_software_gets_no_requests_and_refused_software_provides_no_state) {
     namespace release = coordination::release;
     fixture at;
     canary_traffic releases(at.registry, {});
@@ -442,5 +446,6 @@
     told.refused = {order.target};
     releases.told(told, start);
     cr_assert(at.select()->target.name == base::engine_name("e1"));
-    cr_assert(at.select()->fetch_state_from->to_string() == "10.0.0.9:9", "the store");
+    cr_assert(at.select()->fetch_state_from->to_string() == "10.0.0.9:9",
+              "falls back to the store");
 }
