--- a/src/ferryroad/relay/engine_registry.cpp
+++ b/src/ferryroad/relay/engine_registry.cpp
@@ -31,7 +31,7 @@
     for (auto entry = m_engines.begin(); entry != m_engines.end();) {
         const bool is_gone = !names.contains(entry->first);
         if (is_gone) {
-            leave_pool(entry->second);
+            remove_from_pool(entry->second);
             discount_software(entry->second.listed);
         }
         entry = is_gone ? m_engines.erase(entry) : std::next(entry);
@@ -44,16 +44,16 @@
     known_engine& engine = entry->second;
     const bool is_restarted = !is_added && is_new_process(engine.listed, one);
     if (is_restarted) {
-        if (m_new_process) {
-            m_new_process(one.name);
+        if (m_on_new_process) {
+            m_on_new_process(one.name);
         }
-        leave_pool(engine);
+        remove_from_pool(engine);
         discount_software(engine.listed);
-        engine = known_engine();  // What was known is of the process before.
+        engine = known_engine();  // Everything known refers to the earlier process.
     }
     const bool is_new = is_added || is_restarted;
     if (is_new) {
-        engine.process = ++m_processes;
+        engine.process = ++m_process_count;
     }
     if (is_new || engine.listed.software != one.software) {
         engine.listed_at = now;
@@ -61,7 +61,7 @@
     }
     const bool moves = is_new || engine.listed.pool != one.pool;
     if (moves && !is_new) {
-        leave_pool(engine);
+        remove_from_pool(engine);
     }
     if (!is_new) {
         discount_software(engine.listed);
@@ -69,11 +69,11 @@
     engine.listed = one;
     count_software(engine.listed);
     if (moves) {
-        join_pool(engine);
+        add_to_pool(engine);
     }
     for (const auto& [model, version] : one.versions) {
         if (is_new) {
-            engine.versions[model] = version;  // Every router has it from the list itself.
+            engine.versions[model] = version;  // No event: every router reads it from the list.
         } else {
             saw_version(one.name, model, version);
         }
@@ -91,7 +91,7 @@
 void engine_registry::remove(const base::engine_name& name) {
     const auto found = m_engines.find(name);
     if (found != m_engines.end()) {
-        leave_pool(found->second);
+        remove_from_pool(found->second);
         discount_software(found->second.listed);
         m_engines.erase(found);
     }
@@ -99,7 +99,7 @@
 
 namespace {
 
-engine_pool::iterator place_in(engine_pool& pool, const base::engine_name& name) {
+engine_pool::iterator find_position(engine_pool& pool, const base::engine_name& name) {
     return std::lower_bound(pool.begin(), pool.end(), name,
                             [](const pool_member& one, const auto& wanted) {
                                 return one.engine->listed.name < wanted;
@@ -120,15 +120,15 @@
     }
 }
 
-void engine_registry::join_pool(const known_engine& engine) {
+void engine_registry::add_to_pool(const known_engine& engine) {
     engine_pool& pool = m_pools[engine.listed.pool];
     const std::uint64_t hash = base::hash_bytes(engine.listed.name.value);
-    pool.insert(place_in(pool, engine.listed.name), {hash, &engine});
+    pool.insert(find_position(pool, engine.listed.name), {hash, &engine});
 }
 
-void engine_registry::leave_pool(const known_engine& engine) {
+void engine_registry::remove_from_pool(const known_engine& engine) {
     engine_pool& pool = m_pools[engine.listed.pool];
-    const auto place = place_in(pool, engine.listed.name);
+    const auto place = find_position(pool, engine.listed.name);
     if (place != pool.end() && place->engine == &engine) {
         pool.erase(place);
     }
@@ -142,16 +142,16 @@
 
 void engine_registry::mark_active(const base::engine_name& name) {
     m_active.insert(name);
-    std::erase(m_lately_used, name);
-    m_lately_used.push_front(name);
-    if (m_lately_used.size() > most_lately_used) {
-        m_lately_used.pop_back();
+    std::erase(m_recently_used, name);
+    m_recently_used.push_front(name);
+    if (m_recently_used.size() > max_recently_used) {
+        m_recently_used.pop_back();
     }
 }
 
-std::vector<const known_engine*> engine_registry::lately_used(const base::pool_name& name) const {
+std::vector<const known_engine*> engine_registry::recently_used(const base::pool_name& name) const {
     std::vector<const known_engine*> found;
-    for (const base::engine_name& one : m_lately_used) {
+    for (const base::engine_name& one : m_recently_used) {
         const auto engine = m_engines.find(one);
         if (engine != m_engines.end() && engine->second.listed.pool == name) {
             found.push_back(&engine->second);
@@ -187,10 +187,10 @@
         std::uint64_t& newest = engine->versions[model];
         if (version > newest) {
             newest = version;
-            engine->refuses_until = {};  // What it was busy with has ended.
+            engine->refuses_until = {};  // It refused work because it was loading.
             engine->loading_until = {};
-            if (m_newer_weights) {
-                m_newer_weights(name, model, version);
+            if (m_on_newer_weights) {
+                m_on_newer_weights(name, model, version);
             }
         }
     }
--- a/src/ferryroad/relay/engine_registry.hpp
+++ b/src/ferryroad/relay/engine_registry.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The engines as this router knows them: the list of its source, corrected by what its own
-/// exchanges show sooner.
+/// The engines known to this router: the engine list from the table, updated by what this router
+/// observes in its own exchanges with engines before the list shows it.
 #pragma once
 
 #include "ferryroad/base/endpoint.hpp"
@@ -22,7 +22,7 @@
 
 namespace ferryroad::relay {
 
-/// An engine process as the list tells it.
+/// An engine process as described by its row in the engine list.
 struct listed_engine {
     base::engine_name name;
     base::pool_name pool;
@@ -30,135 +30,142 @@
     base::zone_name zone;
     std::uint32_t slots = 1;
     bool leaving = false;
-    std::map<std::string, std::uint64_t> versions;  ///< Of weights, by model.
+    std::map<std::string, std::uint64_t> versions;  ///< Versions of the weights, by model.
     coordination::release::software_version software;
-    base::duration warming{};  ///< When its row was written: how much longer it is slow at first.
-    /// When its process started, in Unix milliseconds of its own clock; nothing where it doesn't
-    /// say.
+    base::duration warming{};  ///< Remaining warm-up time at the time the row was written.
+    /// Start time of the process in Unix milliseconds on its own clock; nullopt if not reported.
     std::optional<std::uint64_t> born;
 
     friend bool operator==(const listed_engine&, const listed_engine&) = default;
 };
 
-/// @return whether the engine of that name has started anew between the two. Where it doesn't say
-/// when it started, another address or a longer time to be slow shows it. Thread-safe.
+/// @return whether the engine was restarted between the two rows. If a row lacks the start time, a
+/// different address or a longer warm-up time indicates a restart. Thread-safe.
 bool is_new_process(const listed_engine& before, const listed_engine& now);
 
-/// A listed engine with what this router knows beyond the list, all of it of one process.
+/// A listed engine with what this router knows beyond the list. All of it refers to one process of
+/// the engine.
 struct known_engine {
     listed_engine listed;
-    std::uint64_t process = 0;  ///< Of this router's own count: tells one process from the next.
+    std::uint64_t process = 0;  ///< Router-local number that identifies the process.
     core::placement::engine_health health;
-    std::map<std::string, std::uint64_t> versions;  ///< The newest seen, from whatever source.
-    std::uint32_t running = 0;
-    std::uint32_t unrepeatable = 0;  ///< Of `running`: would be lost with the engine.
-    std::uint64_t pending_prefill_tokens = 0;
-    base::monotonic_time refuses_until{};  ///< It said that it takes no work for now.
-    base::monotonic_time listed_at{};      ///< This process was first in the list then.
-    base::monotonic_time loading_until{};  ///< It is said to take new weights until then.
-    base::monotonic_time warm_at{};        ///< Slow until then, as it started not long before.
-
+    std::map<std::string, std::uint64_t>
+        versions;                    ///< Newest version of the weights seen, by model.
+    std::uint32_t running = 0;       ///< This router's requests at the engine.
+    std::uint32_t unrepeatable = 0;  ///< Those of `running` that are lost if the engine fails.
+    std::uint64_t pending_prefill_tokens = 0;  ///< Prompt tokens of requests without a first event.
+    base::monotonic_time refuses_until{};      ///< The engine said it takes no work until then.
+    base::monotonic_time listed_at{};          ///< When the process was first listed.
+    base::monotonic_time loading_until{};      ///< Announced to load new weights until then.
+    base::monotonic_time warm_at{};            ///< End of the warm-up time.
+
+    /// @return the newest version of the model's weights seen; 0 if none.
     std::uint64_t version_of(const std::string& model) const;
 };
 
-/// An engine among those of its pool.
+/// Entry of an `engine_pool`.
 struct pool_member {
-    std::uint64_t name_hash = 0;
+    std::uint64_t name_hash = 0;  ///< Hash of the engine's name, for rendezvous hashing.
     const known_engine* engine = nullptr;
 };
 
+/// Number of engines by software version.
 using software_counts = std::map<coordination::release::software_version, std::size_t>;
 
-/// The engines of one pool, in the order of their names.
+/// The engines of one pool, sorted by name.
 using engine_pool = std::vector<pool_member>;
 
-/// Used from the event loop's thread.
+/// Must be used on the event loop's thread.
 class engine_registry {
   public:
-    /// Takes the whole list: what it lacks is gone.
-    /// @param now by this router's clock, for `known_engine::listed_at`.
+    /// Replaces the whole list: engines that are not in `listed` are removed.
+    /// @param now current time, for `known_engine::listed_at`.
     void replace_all(const std::vector<listed_engine>& listed, base::monotonic_time now = {});
+    /// Adds or updates an engine. A restarted engine loses everything known of its earlier process.
     void put(const listed_engine& one, base::monotonic_time now = {});
     void remove(const base::engine_name& name);
 
-    /// @return the engine, or null. The pointer holds until the next change of the list.
+    /// @return the engine, or null. The pointer is valid until the next change of the list.
     known_engine* find(const base::engine_name& name);
     const std::map<base::engine_name, known_engine>& engines() const { return m_engines; }
-    /// @return the engines of a pool, leaving ones among them; holds until the next change of the
+    /// @return the engines of a pool, including leaving ones; valid until the next change of the
     /// list.
     const engine_pool& pool(const base::pool_name& name) const;
-    /// @return the versions of software that engines of each pool run, with how many do. Counted as
-    /// the list changes: a look at 10,000 engines at each change takes a small machine 20 ms.
+    /// @return the number of engines by software version, for each pool. Updated incrementally:
+    /// counting 10,000 engines at each change of the list takes 20 ms on a small machine.
     const std::map<base::pool_name, software_counts>& software() const { return m_software; }
-    /// @return engines of a pool that requests were sent to last, most of them with connections
-    /// that are kept; a bounded number.
-    std::vector<const known_engine*> lately_used(const base::pool_name& name) const;
-    /// @return the engines that this router has requests at, or that refuse work for now: few of
-    /// many, in the order of their names. Each look at all of 3,001 engines took a tenth of a
-    /// router's processor time (profile of 299 routers).
+    /// @return the engines of a pool among the last ones that requests were sent to, the most
+    /// recent first. Bounded in number; most of them have open connections.
+    std::vector<const known_engine*> recently_used(const base::pool_name& name) const;
+    /// @return the engines that have requests of this router or refuse work at present, sorted by
+    /// name. Tracked separately: iterating over all of 3,001 engines each time took a tenth of a
+    /// router's CPU time (profile of 299 routers).
     std::vector<const known_engine*> active(base::monotonic_time now);
-    /// A request goes to the engine: it counts as active until it is seen not to be.
+    /// Records that a request is sent to the engine. It counts as active until a call of `active`
+    /// finds that it isn't.
     void mark_active(const base::engine_name& name);
-    /// Everything that the list's owner took before `as_of` has been told.
+    /// Records that the registry contains every change accepted by the table before `as_of`.
     void confirm(base::monotonic_time as_of);
-    /// @return time since the list was last confirmed; the greatest while it never was.
+    /// @return time since the list was last confirmed; the maximum duration if it never was.
     base::duration age(base::monotonic_time now) const;
-    /// @return whether a whole list has been taken yet.
+    /// @return whether `replace_all` has been called.
     bool known() const { return m_known; }
 
-    /// @param told of each engine whose name is that of a new process, before that is taken.
-    void on_new_process(std::function<void(const base::engine_name&)> told) {
-        m_new_process = std::move(told);
+    /// @param handler called with the name of each restarted engine, before its new row replaces
+    /// the old one.
+    void on_new_process(std::function<void(const base::engine_name&)> handler) {
+        m_on_new_process = std::move(handler);
     }
-    /// @param told of each engine that shows newer weights than were known, not of its first ones.
+    /// @param handler called when an engine has newer weights than known before; not called for the
+    /// weights that a process is first listed with.
     void on_newer_weights(
-        std::function<void(const base::engine_name&, const std::string&, std::uint64_t)> told) {
-        m_newer_weights = std::move(told);
+        std::function<void(const base::engine_name&, const std::string&, std::uint64_t)> handler) {
+        m_on_newer_weights = std::move(handler);
     }
-    /// An engine showed the version of its weights.
+    /// Records the version of an engine's weights, as reported by the engine.
     void saw_version(const base::engine_name& name, const std::string& model,
                      std::uint64_t version);
-    /// An engine is about to take weights. Who tells it is no witness: the belief ends by itself
-    /// `until` then, and with the first sign of weights as new.
+    /// Records that an engine is announced to load weights. The announcement is not authoritative:
+    /// it expires at `until`, and earlier if the engine reports newer weights.
     void expect_weights(const base::engine_name& name, const std::string& model,
                         std::uint64_t version, base::monotonic_time until);
 
   private:
-    /// Engines remembered as lately used, in all pools.
-    static constexpr std::size_t most_lately_used = 64;
+    /// Maximum number of recently used engines, over all pools.
+    static constexpr std::size_t max_recently_used = 64;
 
     void count_software(const listed_engine& one);
     void discount_software(const listed_engine& one);
-    void join_pool(const known_engine& engine);
-    void leave_pool(const known_engine& engine);
+    void add_to_pool(const known_engine& engine);
+    void remove_from_pool(const known_engine& engine);
 
     std::map<base::engine_name, known_engine> m_engines;
     std::map<base::pool_name, engine_pool> m_pools;
-    std::map<base::pool_name, software_counts> m_software;  ///< A pool stays without engines.
+    std::map<base::pool_name, software_counts> m_software;  ///< Keeps pools without engines.
     std::set<base::engine_name> m_active;
-    std::deque<base::engine_name> m_lately_used;  ///< The last one first.
+    std::deque<base::engine_name> m_recently_used;  ///< Most recent first.
     std::function<void(const base::engine_name&, const std::string&, std::uint64_t)>
-        m_newer_weights;
-    std::function<void(const base::engine_name&)> m_new_process;
+        m_on_newer_weights;
+    std::function<void(const base::engine_name&)> m_on_new_process;
     std::optional<base::monotonic_time> m_confirmed_at;
-    std::uint64_t m_processes = 0;  ///< Seen so far.
+    std::uint64_t m_process_count = 0;  ///< Processes seen; source of `known_engine::process`.
     bool m_known = false;
 };
 
-/// Counts one request at an engine while it lives. The registry outlives it; the engine may
-/// leave the list meanwhile.
+/// RAII guard that counts one request at an engine for its lifetime. The registry must outlive it;
+/// the engine may be removed from the list or restarted in the meantime.
 class engine_load {
   public:
-    /// @param repeatable whether the request may run again elsewhere, should the engine stop.
+    /// @param repeatable whether the request can be retried elsewhere if the engine fails.
     engine_load(engine_registry& registry, base::engine_name name, std::uint64_t prefill_tokens,
                 bool repeatable = true);
     ~engine_load();
     engine_load(const engine_load&) = delete;
     engine_load& operator=(const engine_load&) = delete;
 
-    /// The prompt has been read: the first event came.
+    /// Records that the first event arrived, so the prompt has been computed.
     void prefilled();
-    /// @return the engine, or null where that process is no longer listed.
+    /// @return the engine, or null if the process that got the request is no longer listed.
     known_engine* engine() const;
 
   private:
--- a/src/ferryroad/relay/selection.cpp
+++ b/src/ferryroad/relay/selection.cpp
@@ -193,7 +193,7 @@
     if (listed.size() == pool.size()) {
         return listed;
     }
-    add_to_shortlist(listed, m_registry.lately_used(query.pool));
+    add_to_shortlist(listed, m_registry.recently_used(query.pool));
     if (query.call.prompt) {
         add_to_shortlist(listed, top_holders(listed, query, prompts, now));
     }
--- a/test/relay/engine_registry_test.cpp
+++ b/test/relay/engine_registry_test.cpp
@@ -1,4 +1,5 @@
-/// Which engines a router says that it loads: those it has requests at, and those that refuse.
+/// The engine registry: active engines, restarts of engines, pools, recently used engines and
+/// software counts.
 #include "ferryroad/relay/engine_registry.hpp"
 
 #include <criterion/criterion.h>
@@ -26,7 +27,7 @@
 
 }  // namespace
 
-Test(engine_registry, an_engine_is_active_while_it_has_requests) {
+Test(engine_registry, engine_is_active_while_it_has_requests) {
     engine_registry registry = registry_of(3);
     cr_assert(registry.active(start).empty());
     std::optional<engine_load> first(std::in_place, registry, base::engine_name("e1"), 10);
@@ -41,7 +42,7 @@
     cr_assert(registry.active(start).empty());
 }
 
-Test(engine_registry, an_engine_that_refused_is_active_until_its_pause_has_passed) {
+Test(engine_registry, refusing_engine_is_active_until_the_refusal_ends) {
     engine_registry registry = registry_of(2);
     {
         const engine_load sent(registry, base::engine_name("e0"), 10);
@@ -51,18 +52,18 @@
     cr_assert(registry.active(start + 150ms).empty());
 }
 
-Test(engine_registry, an_engine_that_is_gone_is_not_active) {
+Test(engine_registry, removed_engine_is_not_active) {
     engine_registry registry = registry_of(2);
     const engine_load sent(registry, base::engine_name("e0"), 10);
     registry.remove(base::engine_name("e0"));
     cr_assert(registry.active(start).empty());
 }
 
-Test(engine_registry, the_list_is_as_old_as_its_newest_confirmation) {
+Test(engine_registry, age_counts_from_the_newest_confirmation) {
     engine_registry registry;
     cr_assert(registry.age(start) == base::duration::max());
     registry.confirm(start + 300ms);
-    registry.confirm(start + 100ms);  // Told late, by another source.
+    registry.confirm(start + 100ms);  // A late confirmation from another source.
     cr_assert(registry.age(start + 450ms) == 150ms);
 }
 
@@ -77,7 +78,7 @@
 
 }  // namespace
 
-Test(engine_registry, a_new_process_under_a_name_has_nothing_of_the_one_before) {
+Test(engine_registry, restart_resets_everything_known_of_an_engine) {
     engine_registry registry;
     std::vector<base::engine_name> told;
     registry.on_new_process([&](const base::engine_name& name) { told.push_back(name); });
@@ -105,15 +106,16 @@
     cr_assert(now->listed_at == start + 2s);
 
     const engine_load next(registry, base::engine_name("e"), 20);
-    cr_assert_null(sent->engine(), "what was sent to the one before says nothing of this one");
+    cr_assert_null(sent->engine(), "the request was sent to the earlier process");
     sent.reset();
     cr_assert_eq(now->running, 1);
     cr_assert_eq(now->pending_prefill_tokens, 20);
 }
 
-Test(engine_registry, without_a_start_other_signs_show_a_new_process) {
+Test(engine_registry, detects_restarts_without_start_times) {
     cr_assert_not(is_new_process(process_of({}), process_of({})));
-    cr_assert_not(is_new_process(process_of({}), process_of(1000)), "it says it from now on");
+    cr_assert_not(is_new_process(process_of({}), process_of(1000)),
+                  "the engine starts to report its start time");
     listed_engine warming = process_of({});
     warming.warming = 2s;
     cr_assert(is_new_process(process_of({}), warming));
@@ -123,7 +125,7 @@
     cr_assert(is_new_process(process_of({}), moved));
 }
 
-Test(engine_registry, the_whole_list_tells_new_processes_too) {
+Test(engine_registry, replace_all_detects_restarts) {
     engine_registry registry;
     int told = 0;
     registry.on_new_process([&](const base::engine_name&) { ++told; });
@@ -132,7 +134,7 @@
     cr_assert_eq(told, 1);
 }
 
-Test(engine_registry, a_pool_lists_its_engines_in_the_order_of_their_names) {
+Test(engine_registry, pool_is_sorted_by_engine_name) {
     engine_registry registry;
     listed_engine one;
     one.pool.value = "p";
@@ -149,7 +151,7 @@
     };
     cr_assert(names("p") == "abc");
     one.born = 7;
-    registry.put(one);  // A new process under the same name.
+    registry.put(one);  // A restart.
     one.pool.value = "q";
     registry.put(one);
     cr_assert(names("p") == "ac");
@@ -161,7 +163,7 @@
     cr_assert(names("q") == "b");
 }
 
-Test(engine_registry, remembers_which_engines_were_used_last) {
+Test(engine_registry, lists_recently_used_engines_of_a_pool) {
     engine_registry registry;
     listed_engine one;
     one.pool.value = "p";
@@ -171,13 +173,13 @@
         registry.mark_active(one.name);
     }
     registry.mark_active(base::engine_name("e150"));
-    const auto used = registry.lately_used(one.pool);
+    const auto used = registry.recently_used(one.pool);
     cr_assert_leq(used.size(), 64);
     cr_assert(used.front()->listed.name.value == "e150");
-    cr_assert(registry.lately_used(base::pool_name("q")).empty());
+    cr_assert(registry.recently_used(base::pool_name("q")).empty());
 }
 
-Test(engine_registry, counts_the_software_of_each_pool_as_the_list_changes) {
+Test(engine_registry, counts_software_versions_by_pool) {
     engine_registry registry;
     const auto versions = [&] {
         std::string all;
@@ -198,18 +200,19 @@
     registry.put(one);
     cr_assert(versions() == "v12 v21 ");
     one.born = 7;
-    registry.put(one);  // A new process under the same name.
+    registry.put(one);  // A restart.
     cr_assert(versions() == "v12 v21 ");
     registry.remove(base::engine_name("a"));
     cr_assert(versions() == "v11 v21 ");
     registry.replace_all({one});
     cr_assert(versions() == "v21 ");
     registry.remove(base::engine_name("c"));
-    cr_assert(versions().empty(), "a pool without engines stays");
+    cr_assert(versions().empty(), "a pool without engines is kept");
 }
 
-/// Load pattern: thousands of engines start within seconds, and each router hears of each of them.
-Test(engine_registry, the_first_weights_of_an_engine_are_no_news_to_others) {
+/// Load pattern: thousands of engines start within seconds, and every router reads each of them
+/// from the list.
+Test(engine_registry, first_weights_of_an_engine_cause_no_event) {
     engine_registry registry;
     int told = 0;
     registry.on_newer_weights([&](const auto&, const auto&, std::uint64_t) { ++told; });
