--- a/src/ferryroad/relay/canary_traffic.cpp
+++ b/src/ferryroad/relay/canary_traffic.cpp
@@ -28,12 +28,12 @@
     : m_registry(registry), m_settings(settings), m_gate(settings.gate) {}
 
 void canary_traffic::change_settings(const canary_settings& settings) {
-    m_settings = settings;  // Of the orders to come: those under way end as they began.
+    m_settings = settings;
 }
 
-// ---- What becomes known ----
+// ---- Inputs ----
 
-canary::judge_tunables canary_traffic::own_judge() const {
+canary::judge_tunables canary_traffic::own_judge_tunables() const {
     canary::judge_tunables tunables = m_settings.judge;
     tunables.false_alarm /= std::max(1.0, m_settings.routers);
     return tunables;
@@ -41,23 +41,23 @@
 
 void canary_traffic::order(const release::release_order& given) {
     m_gate.order(given);
-    m_heard.insert(given.pool);
+    m_announced.insert(given.pool);
     const auto known = m_pools.find(given.pool);
     if (known != m_pools.end() && given.number <= known->second.own.order.number) {
         return;
     }
-    auto told = known == m_pools.end() ? std::nullopt : known->second.told;
+    auto last_notice = known == m_pools.end() ? std::nullopt : known->second.last_notice;
     pool_release fresh{{},
                        canary::exposure_budget(m_settings.exposure),
-                       canary::canary_trial(own_judge()),
-                       std::move(told),
+                       canary::canary_trial(own_judge_tunables()),
+                       std::move(last_notice),
                        {},
                        {},
                        {}};
     fresh.own.order = given;
     fresh.own.phase = m_gate.phase_of(given.pool);
     m_pools.insert_or_assign(given.pool, std::move(fresh));
-    runtime::log(runtime::log_level::info, component, "order seen",
+    runtime::log(runtime::log_level::info, component, "release order received",
                  {{"pool", given.pool.value},
                   {"order", std::to_string(given.number.value)},
                   {"target", given.target.value},
@@ -66,16 +66,16 @@
 
 void canary_traffic::told(const release::phase_notice& notice, base::monotonic_time now) {
     m_gate.told(notice, now);
-    m_heard.insert(notice.pool);
+    m_announced.insert(notice.pool);
     const auto known = m_pools.find(notice.pool);
     if (known == m_pools.end()) {
         return;
     }
     pool_release& one = known->second;
-    one.told = notice;
+    one.last_notice = notice;
     const auto phase = m_gate.phase_of(notice.pool);
     if (phase != one.own.phase) {
-        runtime::log(runtime::log_level::info, component, "phase told",
+        runtime::log(runtime::log_level::info, component, "release phase changed",
                      {{"pool", notice.pool.value},
                       {"order", std::to_string(notice.order.value)},
                       {"target", notice.target.value},
@@ -111,7 +111,8 @@
     const bool just_found = !was_bad && own.found.found == canary::verdict::bad;
     if (just_found) {
         m_gate.stop(pool);
-        runtime::log(runtime::log_level::warning, component, "trial stopped by own counts",
+        runtime::log(runtime::log_level::warning, component,
+                     "canary trial stopped: this router's own counts show a bad version",
                      {{"pool", pool.value},
                       {"order", std::to_string(own.order.number.value)},
                       {"target", own.order.target.value},
@@ -127,7 +128,7 @@
 
 // ---- Requests ----
 
-void canary_traffic::choose_engines(pool_release& one, base::monotonic_time now) const {
+void canary_traffic::choose_canary_engines(pool_release& one, base::monotonic_time now) const {
     std::vector<base::engine_name> candidates;
     std::vector<base::engine_name> warming;
     std::size_t current = 0;
@@ -142,7 +143,7 @@
         }
     }
     if (candidates.empty()) {
-        candidates = std::move(warming);  // Their failures count already.
+        candidates = std::move(warming);  // Slow, but their failures are evidence.
     }
     const auto chosen = canary::canary_engines(one.own.order.number.value, candidates, current,
                                                m_settings.exposure.share);
@@ -164,8 +165,9 @@
     if (permitted != release::permission::canary) {
         return false;
     }
-    if (one.chosen_at == base::monotonic_time{} || now - one.chosen_at > m_settings.choice_holds) {
-        choose_engines(one, now);
+    if (one.chosen_at == base::monotonic_time{} ||
+        now - one.chosen_at > m_settings.engine_choice_period) {
+        choose_canary_engines(one, now);
     }
     if (one.canaries.empty()) {
         return false;
@@ -199,8 +201,8 @@
     }
     pool_release& one = known->second;
     if (result.broken_off) {
-        const auto [last, is_first] = one.broke_at.try_emplace(result.engine, now);
-        if (!is_first && now - last->second < m_settings.one_crash) {
+        const auto [last, is_first] = one.crashed_at.try_emplace(result.engine, now);
+        if (!is_first && now - last->second < m_settings.crash_window) {
             return;
         }
         last->second = now;
@@ -216,9 +218,10 @@
     }
 }
 
-// ---- Questions ----
+// ---- Queries ----
 
-bool canary_traffic::stands_empty(const base::pool_name& pool, base::monotonic_time now) const {
+bool canary_traffic::has_no_permitted_engine(const base::pool_name& pool,
+                                             base::monotonic_time now) const {
     const auto& engines = m_registry.engines();
     return std::none_of(engines.begin(), engines.end(), [&](const auto& entry) {
         const known_engine& engine = entry.second;
@@ -230,16 +233,16 @@
 release::permission canary_traffic::permits(const known_engine& engine,
                                             base::monotonic_time now) const {
     const auto found = gate_permits(engine, now);
-    if (found != release::permission::none || !stands_empty(engine.listed.pool, now)) {
+    if (found != release::permission::none || !has_no_permitted_engine(engine.listed.pool, now)) {
         return found;
     }
-    if (!m_heard.contains(engine.listed.pool)) {
+    if (!m_announced.contains(engine.listed.pool)) {
         return release::permission::all;
     }
     const auto listed_at = std::min(engine.listed_at, m_confirmed_at.value_or(engine.listed_at));
-    const auto once_confirmed =
+    const auto if_confirmed =
         m_gate.permits(engine.listed.pool, engine.listed.software, listed_at, now);
-    return once_confirmed == release::permission::all ? once_confirmed : found;
+    return if_confirmed == release::permission::all ? if_confirmed : found;
 }
 
 release::permission canary_traffic::gate_permits(const known_engine& engine,
@@ -262,9 +265,9 @@
     if (known == m_pools.end() || permits(engine, now) != release::permission::none) {
         return true;
     }
-    const auto& told = known->second.told;
+    const auto& notice = known->second.last_notice;
     return engine.listed.software != known->second.own.order.target &&
-           !(told && told->refused.contains(engine.listed.software));
+           !(notice && notice->refused.contains(engine.listed.software));
 }
 
 const own_release* canary_traffic::find(const base::pool_name& pool) const {
@@ -274,32 +277,32 @@
 
 std::uint32_t canary_traffic::unrepeatable_at_replaced(const base::pool_name& pool) const {
     const auto known = m_pools.find(pool);
-    if (known == m_pools.end() || !known->second.told) {
+    if (known == m_pools.end() || !known->second.last_notice) {
         return 0;
     }
     std::uint32_t running = 0;
     for (const auto& [name, engine] : m_registry.engines()) {
         const bool replaced = engine.listed.pool == pool &&
-                              known->second.told->replaced.contains(engine.listed.software);
+                              known->second.last_notice->replaced.contains(engine.listed.software);
         running += replaced ? engine.unrepeatable : 0;
     }
     return running;
 }
 
-// ---- One selection ----
+// ---- release_filter ----
 
 release::permission release_filter::permission_of(const known_engine& engine) {
     const auto confirmed_at = m_releases->confirmed_at();
     const bool confirmed = confirmed_at && engine.listed_at <= *confirmed_at;
-    for (std::size_t index = 0; index < m_known_count; ++index) {
-        const known_permission& one = m_known[index];
+    for (std::size_t index = 0; index < m_cached_count; ++index) {
+        const cached_permission& one = m_cached[index];
         if (one.confirmed == confirmed && *one.software == engine.listed.software) {
             return one.found;
         }
     }
     const auto found = m_releases->permits(engine, m_now);
-    if (m_known_count < m_known.size()) {
-        m_known[m_known_count++] = {&engine.listed.software, confirmed, found};
+    if (m_cached_count < m_cached.size()) {
+        m_cached[m_cached_count++] = {&engine.listed.software, confirmed, found};
     }
     return found;
 }
--- a/src/ferryroad/relay/canary_traffic.hpp
+++ b/src/ferryroad/relay/canary_traffic.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What a router does with the requests of pools whose software is being released: which engines
-/// they may get, which of them go to a version on trial, and what is counted of their answers.
+/// Routing of requests to pools whose software is being released: which engines may get requests,
+/// which requests go to the canary version, and which results are counted to judge it.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -25,133 +25,147 @@
     core::canary::exposure_tunables exposure;
     coordination::release::gate_tunables gate;
     core::canary::judge_tunables judge;
-    /// Each router judges its own answers, too: of all of them, one in so many trials of a good
-    /// version may stop by itself, as it does with `judge.false_alarm` on the whole evidence.
+    /// Assumed number of routers. Each router also judges its own results; `judge.false_alarm` is
+    /// divided by this number, so that the fleet's probability of stopping the trial of a good
+    /// version in this way is about `judge.false_alarm`.
     double routers = 100;
-    /// The engines that get canary requests are chosen anew so often.
-    base::duration choice_holds = std::chrono::milliseconds(100);
-    /// Streams that one engine breaks off within this time have one cause: it ended.
-    base::duration one_crash = std::chrono::seconds(1);
+    /// How often the set of engines that get canary requests is chosen again.
+    base::duration engine_choice_period = std::chrono::milliseconds(100);
+    /// Streams that an engine breaks off within this time count as one failure, as they have one
+    /// cause: the engine crashed.
+    base::duration crash_window = std::chrono::seconds(1);
 };
 
-/// How an exchange with an engine ended that says something of its software.
+/// Result of an exchange with an engine, as evidence on the engine's software.
 struct exchange_result {
     base::pool_name pool;
     base::route_name route;
     base::engine_name engine;
     coordination::release::software_version software;
-    coordination::release::order_number order;  ///< Under which it began.
-    bool failed = false;                        ///< The engine ran it and failed.
-    bool broken_off = false;                    ///< Of these: its stream ended early.
-    base::duration taken{};                     ///< For the same work, where it didn't fail.
-    bool timed = true;                          ///< `taken` says something of the software.
+    coordination::release::order_number order;  ///< The order under which it began.
+    bool failed = false;                        ///< The engine ran the request and failed.
+    bool broken_off = false;                    ///< Failed because the stream ended early.
+    /// Duration for a comparable amount of work; only if it didn't fail.
+    base::duration taken{};
+    bool timed = true;  ///< Whether `taken` is usable as evidence on the software.
 
     friend bool operator==(const exchange_result&, const exchange_result&) = default;
 };
 
-/// This router's part in one order.
+/// This router's state and counts for one release order.
 struct own_release {
     coordination::release::release_order order;
-    std::optional<coordination::release::release_phase> phase;  ///< That was told last.
+    std::optional<coordination::release::release_phase> phase;  ///< Last phase received.
     core::canary::counts_by_route counts;
-    core::canary::judgement found;  ///< By these counts alone.
-    std::uint64_t requests = 0;     ///< First dispatches while there was a grant.
-    std::uint64_t exposed = 0;      ///< Of these, to the canary.
+    core::canary::judgement found;  ///< Judgement by these counts alone.
+    std::uint64_t requests = 0;     ///< First dispatches while canary requests were allowed.
+    std::uint64_t exposed = 0;      ///< Those of `requests` that were sent to the canary.
 };
 
-/// Used from the event loop's thread. The registry outlives it.
+/// Must be used on the event loop's thread. The registry must outlive it.
 class canary_traffic {
   public:
     canary_traffic(engine_registry& registry, canary_settings settings);
 
-    // ---- What becomes known ----
+    // ---- Inputs ----
 
+    /// The exposure budget and the judge of an order in progress keep the settings they began with.
     void change_settings(const canary_settings& settings);
+    /// Adds a release order. Ignored unless its number exceeds that of the pool's current order.
     void order(const coordination::release::release_order& given);
+    /// Applies a phase notice from the release coordinator.
     void told(const coordination::release::phase_notice& notice, base::monotonic_time now);
-    /// All orders given before `as_of` have been handed in.
+    /// All orders accepted before `as_of` have been passed to `order`.
     void confirmed(base::monotonic_time as_of) {
         m_gate.confirmed(as_of);
         m_confirmed_at = as_of;
     }
-    /// The list of engines has changed; orders that were read along with it are handed in before.
+    /// The engine list has changed. Orders read along with the list must be passed to `order`
+    /// first.
     void engines_changed(base::monotonic_time now);
-    /// Judges this router's own counts, and ends the trial here where they show a bad version.
-    /// @return whether that was found just now.
+    /// Judges this router's own counts, and stops the trial on this router if they show a bad
+    /// version.
+    /// @return whether this call found the version to be bad.
     bool look(const base::pool_name& pool);
 
     // ---- Requests ----
 
-    /// Asked once for each request, at its first dispatch.
+    /// Decides whether a request goes to the canary. Call once for each request, at its first
+    /// dispatch.
     /// @return whether it goes to the canary.
     bool choose(const base::pool_name& pool, const base::route_name& route,
                 base::monotonic_time now);
-    /// A chosen request went elsewhere after all.
+    /// Returns the budget of a request that `choose` selected but that was not sent to the canary.
     void give_back(const base::pool_name& pool, const base::route_name& route);
-    /// @return the order that exchanges of the pool begin under now; nothing without one.
+    /// @return the pool's order in progress; nullopt if there is none.
     std::optional<coordination::release::order_number> order_under_way(
         const base::pool_name& pool) const;
+    /// Counts the result of an exchange; ignored unless it began under the pool's current order.
     void ended(const exchange_result& result, base::monotonic_time now);
 
-    // ---- Questions ----
+    // ---- Queries ----
 
-    /// A pool that would stand without any engine (this router has just started, or all engines
-    /// are being replaced) is served by those that only lack a confirmation; by all where no order
-    /// was ever heard of.
+    /// If no engine of a pool may get ordinary requests (this router has just started, or all
+    /// engines are being replaced), those that only lack a confirmation may; if no order or notice
+    /// for the pool was ever received, all may.
+    /// @return which requests the engine may get.
     coordination::release::permission permits(const known_engine& engine,
                                               base::monotonic_time now) const;
-    /// @return whether the engine is one that canary requests of its pool go to.
+    /// @return whether the engine is a canary of its pool and accepts requests at present.
     bool takes_canaries(const known_engine& engine, base::monotonic_time now) const;
-    /// @return whether others may fetch prompt state from the engine: all but versions that are
-    /// refused, or may get no requests yet.
+    /// @return whether other engines may fetch KV state from the engine. False for versions that
+    /// were refused or may not get requests yet.
     bool may_give_state(const known_engine& engine, base::monotonic_time now) const;
     std::optional<base::monotonic_time> confirmed_at() const { return m_confirmed_at; }
     const coordination::release::version_gate& gate() const { return m_gate; }
-    /// @return null where the pool has no order.
+    /// @return this router's state of the pool's order; null if the pool has none.
     const own_release* find(const base::pool_name& pool) const;
-    /// @return requests running here at engines that the release replaces, that would be lost.
+    /// @return the number of this router's running requests that cannot be retried, at engines
+    /// whose software the release replaces.
     std::uint32_t unrepeatable_at_replaced(const base::pool_name& pool) const;
 
   private:
-    /// Of one pool, from its first order on.
+    /// State of one pool since its current order was received.
     struct pool_release {
         own_release own;
         core::canary::exposure_budget budget;
         core::canary::canary_trial trial;
-        std::optional<coordination::release::phase_notice> told;
+        std::optional<coordination::release::phase_notice> last_notice;
         std::set<base::engine_name> canaries;
-        base::monotonic_time chosen_at{};
-        std::map<base::engine_name, base::monotonic_time> broke_at;
+        base::monotonic_time chosen_at{};  ///< When `canaries` was chosen; zero to choose again.
+        /// When the last crash was counted, by engine.
+        std::map<base::engine_name, base::monotonic_time> crashed_at;
     };
 
     coordination::release::permission gate_permits(const known_engine& engine,
                                                    base::monotonic_time now) const;
-    bool stands_empty(const base::pool_name& pool, base::monotonic_time now) const;
-    void choose_engines(pool_release& one, base::monotonic_time now) const;
-    core::canary::judge_tunables own_judge() const;
+    bool has_no_permitted_engine(const base::pool_name& pool, base::monotonic_time now) const;
+    void choose_canary_engines(pool_release& one, base::monotonic_time now) const;
+    core::canary::judge_tunables own_judge_tunables() const;
 
     engine_registry& m_registry;
     canary_settings m_settings;
     coordination::release::version_gate m_gate;
     std::optional<base::monotonic_time> m_confirmed_at;
-    std::set<base::pool_name> m_heard;  ///< Pools that an order or a notice of one named.
+    std::set<base::pool_name> m_announced;  ///< Pools that an order or notice was received for.
     std::map<base::pool_name, pool_release> m_pools;
 };
 
-/// Asked for each engine while one request is placed: looks up little more than once for each
-/// version. Lives for one selection.
+/// Filters engines by release permission during one selection. Caches the permission by software
+/// version, as a pool has few versions and many engines.
 class release_filter {
   public:
-    /// @param releases may be null: then all are allowed. @param canary whether the request was
-    /// chosen for the canary.
+    /// @param releases may be null: then all engines are allowed.
+    /// @param canary whether the request was selected for the canary.
     release_filter(const canary_traffic* releases, bool canary, base::monotonic_time now)
         : m_releases(releases), m_canary(canary), m_now(now) {}
 
-    /// @param engine of the one pool that is asked about.
+    /// @param engine must be of the same pool in all calls.
+    /// @return whether the engine may get the request.
     bool allows(const known_engine& engine);
 
   private:
-    struct known_permission {
+    struct cached_permission {
         const coordination::release::software_version* software = nullptr;
         bool confirmed = false;
         coordination::release::permission found{};
@@ -162,10 +176,9 @@
     const canary_traffic* m_releases;
     bool m_canary;
     base::monotonic_time m_now;
-    /// Of the versions met first; of others, of which a pool seldom has any, the gate is asked
-    /// anew.
-    std::array<known_permission, 4> m_known;
-    std::size_t m_known_count = 0;
+    /// The first versions seen. Further versions, which are rare, are looked up each time.
+    std::array<cached_permission, 4> m_cached;
+    std::size_t m_cached_count = 0;
 };
 
 }  // namespace ferryroad::relay
--- a/src/ferryroad/relay/distance_meter.cpp
+++ b/src/ferryroad/relay/distance_meter.cpp
@@ -45,7 +45,7 @@
 std::vector<metered_bytes> distance_meter::totals() const {
     std::vector<metered_bytes> all;
     all.reserve(m_counted.size());
-    for (const auto& [of, counted] : m_counted) {
+    for (const auto& [key, counted] : m_counted) {
         all.push_back(counted);
     }
     return all;
--- a/src/ferryroad/relay/distance_meter.hpp
+++ b/src/ferryroad/relay/distance_meter.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Bytes that this router exchanges, by how far they go and what they are: what operators read off
-/// which traffic crosses regions.
+/// Counts the messages and bytes that this router exchanges, by kind and distance. The metrics show
+/// operators which traffic crosses zones and regions.
 #pragma once
 
 #include "ferryroad/base/endpoint.hpp"
@@ -18,20 +18,21 @@
 
 namespace ferryroad::relay {
 
-/// What the bytes are.
+/// Kind of traffic.
 enum class traffic_kind {
-    request,      ///< To engines, callers' headers and bodies.
-    answer,       ///< Bodies from engines.
-    state_moved,  ///< Prompt state that engines were asked to fetch, as estimated.
-    state_event,  ///< What holders tell of their state.
-    notice,       ///< Datagrams between routers: loads, state, weights.
-    quota,        ///< Datagrams between routers that count limits.
-    table         ///< Copies of tables, taken from other routers.
+    request,      ///< Headers and bodies of callers' requests sent to engines.
+    answer,       ///< Response bodies from engines.
+    state_moved,  ///< KV state that engines were asked to fetch; estimated.
+    state_event,  ///< State events from engines and state stores.
+    notice,       ///< Datagrams between routers about load, KV state and weights.
+    quota,        ///< Datagrams between routers for quota accounting.
+    table         ///< Table copies fetched from other routers.
 };
 
+/// @return the kind's label in the metrics.
 std::string_view to_string(traffic_kind kind);
 
-/// Bytes of one kind over one distance, both ways, without the lower layers' framing.
+/// Traffic of one kind over one distance, in both directions, without framing of lower layers.
 struct metered_bytes {
     traffic_kind kind{};
     core::topology::distance away{};
@@ -41,22 +42,23 @@
     friend bool operator==(const metered_bytes&, const metered_bytes&) = default;
 };
 
-/// Used from the event loop's thread.
+/// Must be used on the event loop's thread.
 class distance_meter {
   public:
     distance_meter(base::zone_name self, core::topology::zone_map zones)
         : m_self(std::move(self)), m_zones(std::move(zones)) {}
 
-    /// Takes the routers that are present. Bytes to others count as those within the zone.
+    /// Sets the routers whose zones are known. Traffic to any other router counts as same-zone.
     void set_routers(const std::vector<peer_address>& present);
 
+    /// Counts one message of `bytes` over a distance, to a zone, or to a router.
     void add(traffic_kind kind, core::topology::distance away, std::uint64_t bytes);
     void add(traffic_kind kind, const base::zone_name& zone, std::uint64_t bytes) {
         add(kind, m_zones.between(m_self, zone), bytes);
     }
     void add(traffic_kind kind, const base::endpoint& router, std::uint64_t bytes);
 
-    /// @return what was counted, in order of kind and distance.
+    /// @return the counts, sorted by kind and distance.
     std::vector<metered_bytes> totals() const;
 
   private:
@@ -66,8 +68,8 @@
     std::map<std::pair<traffic_kind, core::topology::distance>, metered_bytes> m_counted;
 };
 
-/// A transport as one of its users sees it: what that one sends, and the answers to its calls, are
-/// counted as its kind. Collaborators outlive it.
+/// Decorates a transport: counts what is sent through it, and the answers to calls made through it,
+/// as one kind of traffic. The objects passed to the constructor must outlive it.
 class metered_transport final : public peer::transport {
   public:
     metered_transport(peer::transport& inner, distance_meter& meter, traffic_kind kind)
--- a/src/ferryroad/relay/naming_journal.cpp
+++ b/src/ferryroad/relay/naming_journal.cpp
@@ -18,27 +18,27 @@
 
 void owner_clock::observe(base::monotonic_time asked_at, base::monotonic_time answered_at,
                           std::chrono::milliseconds owner_time) {
-    const base::duration least = owner_time - answered_at.time_since_epoch();
-    const base::duration most = owner_time - asked_at.time_since_epoch();
-    m_least_difference = m_known ? std::max(m_least_difference, least) : least;
-    m_most_difference = m_known ? std::min(m_most_difference, most) : most;
+    const base::duration min_offset = owner_time - answered_at.time_since_epoch();
+    const base::duration max_offset = owner_time - asked_at.time_since_epoch();
+    m_min_offset = m_known ? std::max(m_min_offset, min_offset) : min_offset;
+    m_max_offset = m_known ? std::min(m_max_offset, max_offset) : max_offset;
     m_known = true;
 }
 
 rollout::keeper_milliseconds owner_clock::to_owner(base::monotonic_time local) const {
-    return base::to_milliseconds(local.time_since_epoch() + m_least_difference);
+    return base::to_milliseconds(local.time_since_epoch() + m_min_offset);
 }
 
 base::monotonic_time owner_clock::to_local(rollout::keeper_milliseconds owner) const {
-    return base::monotonic_time(std::chrono::milliseconds(owner) - m_most_difference);
+    return base::monotonic_time(std::chrono::milliseconds(owner) - m_max_offset);
 }
 
 rollout::keeper_milliseconds owner_clock::to_owner_latest(base::monotonic_time local) const {
-    return base::to_milliseconds(local.time_since_epoch() + m_most_difference) + 1;
+    return base::to_milliseconds(local.time_since_epoch() + m_max_offset) + 1;
 }
 
 base::monotonic_time owner_clock::to_local_latest(rollout::keeper_milliseconds owner) const {
-    return base::monotonic_time(std::chrono::milliseconds(owner) - m_least_difference);
+    return base::monotonic_time(std::chrono::milliseconds(owner) - m_min_offset);
 }
 
 naming_journal::naming_journal(runtime::scheduler& scheduler, platform::table& table,
@@ -56,14 +56,14 @@
 }
 
 runtime::task<void> naming_journal::run() {
-    bool is_read = false;
-    while (!m_stopped && !is_read) {
-        is_read = co_await read_record();
-        if (!is_read) {
+    bool read_done = false;
+    while (!m_stopped && !read_done) {
+        read_done = co_await read_record();
+        if (!read_done) {
             co_await m_scheduler.sleep_for(m_settings.retry);
         }
     }
-    m_policies.take_record();
+    m_policies.finish_record_read();
     while (!m_stopped) {
         if (m_leads() && m_clock.known() && m_policies.confirmed_at()) {
             co_await write_record();
@@ -84,16 +84,17 @@
     const auto record =
         rows->empty() ? std::nullopt : rollout::decode_naming_record(rows->front().value);
     if (!record) {
-        co_return true;  // Nobody has written it yet.
+        co_return true;  // No record has been written yet, or it is unreadable.
     }
     std::map<std::string, std::uint64_t> recorded;
     for (const auto& [model, versions] : record->models) {
         for (const rollout::named_weights& one : versions) {
-            m_policies.learn_naming(model, one.version, m_clock.to_local(one.accepted_after));
+            m_policies.add_recorded_naming(model, one.version,
+                                           m_clock.to_local(one.accepted_after));
             recorded[model] = one.version;
         }
     }
-    m_policies.learn_newer(recorded, m_clock.to_local(record->confirmed_at));
+    m_policies.raise_unrecorded_namings(recorded, m_clock.to_local(record->confirmed_at));
     runtime::log(runtime::log_level::info, component, "naming record read",
                  {{"models", std::to_string(record->models.size())}});
     co_return true;
@@ -118,7 +119,8 @@
     changes.push_back(std::move(change));
     const auto outcome = co_await m_table.transact(std::move(changes));
     if (!outcome) {
-        runtime::log(runtime::log_level::debug, component, "naming record not written",
+        runtime::log(runtime::log_level::debug, component,
+                     "writing the naming record failed; retrying in the next period",
                      {{"error", outcome.error().message}});
     }
 }
--- a/src/ferryroad/relay/policy_source.cpp
+++ b/src/ferryroad/relay/policy_source.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-/// A confirmation older than this share of the time in which a key must stop to hold is none:
-/// what is sent now takes a while to arrive and to run.
+/// Share of the revocation time for which a confirmation is valid. The rest is left for a request
+/// that was accepted by a revoked key to reach its engine and run.
 constexpr double confirmation_share = 0.58;
-/// What an engine is told or a connection that is closed takes this long to get there: some
-/// milliseconds, and the pauses of a busy process.
+/// Time for a message or a closed connection to take effect at an engine: some milliseconds of
+/// network latency and the pauses of a busy process.
 constexpr base::duration outdated_margin = std::chrono::milliseconds(250);
 
 }  // namespace
@@ -47,15 +47,15 @@
         return false;
     }
     m_named.push_back(named);
-    if (m_named.size() > most_kept) {
+    if (m_named.size() > max_versions) {
         m_named[1].accepted_after = m_named[0].accepted_after;
         m_named.erase(m_named.begin());
     }
     return true;
 }
 
-void version_history::learn(std::uint64_t older_than, std::uint64_t up_to,
-                            base::monotonic_time moment) {
+void version_history::raise_accepted_after(std::uint64_t older_than, std::uint64_t up_to,
+                                           base::monotonic_time moment) {
     for (named_version& one : m_named) {
         if (one.version > older_than && one.version <= up_to) {
             one.accepted_after = std::max(one.accepted_after, moment);
@@ -68,23 +68,23 @@
         return one.version >= named.version;
     });
     const bool wanted = place != m_named.end() && place->version != named.version;
-    if (wanted && m_named.size() < most_kept) {
+    if (wanted && m_named.size() < max_versions) {
         m_named.insert(place, named);
     }
 }
 
-void policy_source::learn_naming(const std::string& model, std::uint64_t version,
-                                 base::monotonic_time moment) {
+void policy_source::add_recorded_naming(const std::string& model, std::uint64_t version,
+                                        base::monotonic_time moment) {
     m_versions[model].insert({version, moment});
-    m_versions[model].learn(version - 1, version, moment);
+    m_versions[model].raise_accepted_after(version - 1, version, moment);
 }
 
-void policy_source::learn_newer(const std::map<std::string, std::uint64_t>& known,
-                                base::monotonic_time moment) {
+void policy_source::raise_unrecorded_namings(const std::map<std::string, std::uint64_t>& recorded,
+                                             base::monotonic_time moment) {
     for (auto& [model, history] : m_versions) {
-        const auto found = known.find(model);
-        const std::uint64_t newest = found == known.end() ? 0 : found->second;
-        history.learn(newest, std::numeric_limits<std::uint64_t>::max(), moment);
+        const auto found = recorded.find(model);
+        const std::uint64_t newest = found == recorded.end() ? 0 : found->second;
+        history.raise_accepted_after(newest, std::numeric_limits<std::uint64_t>::max(), moment);
     }
 }
 
@@ -108,8 +108,8 @@
 std::optional<base::monotonic_time> policy_source::outdated_since(const std::string& model,
                                                                   std::uint64_t version) const {
     const auto since = versions_of(model).outdated_since(version);
-    if (since && m_awaiting_since) {
-        return std::max(*since, *m_awaiting_since);
+    if (since && m_awaiting_record_since) {
+        return std::max(*since, *m_awaiting_record_since);
     }
     return since;
 }
--- a/src/ferryroad/relay/policy_source.hpp
+++ b/src/ferryroad/relay/policy_source.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// The declared policy in force and how fresh it is confirmed to be. The declaration's owner is
-/// outside; here versions only rise, and ages are checked at use, never by timers.
+/// This router's copy of the declared traffic policy and of the named weight versions, with the
+/// time they were last confirmed to be current. The policy is owned by an external service; a copy
+/// is only replaced by a newer version. Staleness is checked at use, not by timers.
 #pragma once
 
 #include "ferryroad/base/time.hpp"
@@ -16,95 +17,111 @@
 
 namespace ferryroad::relay {
 
-/// Weights of a model, as they were named.
+/// A version of a model's weights that was named as the one to serve.
 struct named_version {
     std::uint64_t version = 0;
-    /// The owner may have accepted it as early as this.
+    /// Lower bound of the time at which the policy's owner accepted the naming.
     base::monotonic_time accepted_after{};
 
     friend bool operator==(const named_version&, const named_version&) = default;
 };
 
-/// The versions named of one model. Not thread-safe.
+/// The named versions of one model. Not thread-safe.
 class version_history {
   public:
-    /// @return whether the version is newer than any known.
+    /// Adds a version; ignored unless it is newer than all others.
+    /// @return whether it was added.
     bool add(named_version named);
-    /// @return the newest version, 0 where none was named.
+    /// @return the newest version, 0 if none was named.
     std::uint64_t newest() const { return m_named.empty() ? 0 : m_named.back().version; }
-    /// @return when weights of `version` may have become outdated: the moment after which the
-    /// first newer ones were named; nothing where they are the newest.
+    /// @return the earliest time at which weights of `version` may have become outdated, i.e. the
+    /// `accepted_after` of the next newer version; nullopt if `version` is the newest.
     std::optional<base::monotonic_time> outdated_since(std::uint64_t version) const;
-    /// Every version after `older_than`, up to `up_to`, was named after `moment`: what was not
-    /// known before is known better now.
-    void learn(std::uint64_t older_than, std::uint64_t up_to, base::monotonic_time moment);
-    /// A version older than the newest was named, too, which this process hadn't been told.
+    /// Raises `accepted_after` to at least `moment` for each version in (`older_than`, `up_to`].
+    void raise_accepted_after(std::uint64_t older_than, std::uint64_t up_to,
+                              base::monotonic_time moment);
+    /// Inserts a version older than the newest that this process had not received. Ignored if it is
+    /// newer than all others, known already, or the history is full.
     void insert(named_version named);
     const std::vector<named_version>& named() const { return m_named; }
 
   private:
-    /// Older ones are forgotten: what is outdated by them is so by the next one, too, and the
-    /// earliest moment is kept.
-    static constexpr std::size_t most_kept = 32;
-    std::vector<named_version> m_named;  ///< Rising.
+    /// The oldest versions beyond this number are dropped. Weights outdated by a dropped version
+    /// are also outdated by its successor, which takes over the earlier `accepted_after`.
+    static constexpr std::size_t max_versions = 32;
+    std::vector<named_version> m_named;  ///< Sorted by version, ascending.
 };
 
+/// How stale the policy may be for a decision.
 struct policy_bounds {
-    /// A key may be relied on while the policy was confirmed no longer ago than this; nothing
-    /// where keys stay good without a confirmation.
+    /// API keys are accepted only if the policy was confirmed within this time; nullopt if keys are
+    /// accepted without a confirmation.
     std::optional<base::duration> key_confirmation;
-    /// A refusal that only the newest policy justifies needs a confirmation this fresh.
+    /// A refusal that depends on the newest policy requires a confirmation within this time.
     base::duration refusal_confirmation = std::chrono::milliseconds(1800);
 };
 
-/// @param keys_need_confirmation whether keys stop to hold without the owner.
-/// @param revocation a key that was taken away may hold no longer than this.
+/// @param keys_need_confirmation whether keys are rejected when the policy's owner cannot confirm
+/// them.
+/// @param revocation maximum time for which a revoked key may still be accepted.
 policy_bounds policy_bounds_for(bool keys_need_confirmation, base::duration revocation);
 
-/// @param allowed after newer weights are named, how long requests may begin on older ones.
-/// @return the same as this process keeps to: what it sends or withdraws takes a while to arrive.
+/// @param allowed how long requests may begin with older weights after newer ones were named.
+/// @return the shorter limit that this process applies, as the requests and cancellations it sends
+/// take time to arrive.
 base::duration outdated_limit_for(base::duration allowed);
 
-/// Used from the event loop's thread.
+/// Must be used on the event loop's thread.
 class policy_source {
   public:
     explicit policy_source(policy_bounds bounds) : m_bounds(bounds) {}
 
     void change_bounds(policy_bounds bounds) { m_bounds = bounds; }
 
-    /// @return whether the policy was taken: it is newer than the one in force.
+    /// Puts a policy in force if it is newer than the current one.
+    /// @return whether it was.
     bool offer(core::traffic::declaration declared);
-    /// A model's weights were named. @return whether the version is newer than any known.
+    /// Adds a newly named version of a model's weights.
+    /// @return whether it is newer than all versions known.
     bool name_version(const std::string& model, std::uint64_t version);
-    /// A version was named after `moment`, as was recorded while this process wasn't there.
-    void learn_naming(const std::string& model, std::uint64_t version, base::monotonic_time moment);
-    /// The same of every version, of any model, that is newer than the one given for the model.
-    void learn_newer(const std::map<std::string, std::uint64_t>& known,
-                     base::monotonic_time moment);
-    /// The record of namings can't be read yet. Until `take_record`, weights count as named no
-    /// earlier than this process's start: the record is kept where the rollout's lease is, and
-    /// while that can't be reached, engines can't be brought to newer weights.
-    void await_record(base::monotonic_time started) { m_awaiting_since = started; }
-    /// The record has been read, and what it says has been learnt.
-    void take_record() { m_awaiting_since.reset(); }
-    /// Everything accepted by the owner before `asked_at` has been offered.
+    /// Adds what the naming record says about a version.
+    /// @param moment lower bound of the time at which the version was named.
+    void add_recorded_naming(const std::string& model, std::uint64_t version,
+                             base::monotonic_time moment);
+    /// For each model, raises the naming times of versions newer than the recorded one.
+    /// @param recorded newest version in the naming record, by model.
+    /// @param moment when the naming record was last confirmed: newer versions were named later.
+    void raise_unrecorded_namings(const std::map<std::string, std::uint64_t>& recorded,
+                                  base::monotonic_time moment);
+    /// The naming record is not available yet. Until `finish_record_read`, no version counts as
+    /// named before this process started. This is safe because the record is stored in the same
+    /// table as the rollout lease: while the table is unreachable, no rollout can bring engines to
+    /// newer weights.
+    void await_record(base::monotonic_time started) { m_awaiting_record_since = started; }
+    /// The naming record has been read and its contents added.
+    void finish_record_read() { m_awaiting_record_since.reset(); }
+    /// Records that everything accepted by the owner before `asked_at` has been passed to this
+    /// object.
     void confirm(base::monotonic_time asked_at);
 
-    /// @return the policy in force, or null while none is known.
+    /// @return the policy in force; null if none is known.
     std::shared_ptr<const core::traffic::traffic_policy> current() const { return m_current; }
-    /// @return the versions named of a model; an empty history where none were.
+    /// @return the named versions of a model; an empty history if there are none.
     const version_history& versions_of(const std::string& model) const;
     const std::map<std::string, version_history>& versions() const { return m_versions; }
-    /// @return since when weights of `version` may have been outdated; nothing where they are
-    /// the newest.
+    /// @return the earliest time at which weights of `version` may have become outdated; nullopt if
+    /// they are the newest.
     std::optional<base::monotonic_time> outdated_since(const std::string& model,
                                                        std::uint64_t version) const;
 
-    /// @return the moment before which everything accepted is known here.
+    /// @return the time before which everything accepted by the owner is known; nullopt if the
+    /// policy was never confirmed.
     std::optional<base::monotonic_time> confirmed_at() const { return m_confirmed_at; }
-    /// @return time since the policy was last confirmed; the greatest while it never was.
+    /// @return time since the policy was last confirmed; the maximum duration if it never was.
     base::duration age(base::monotonic_time now) const;
+    /// @return whether the policy is fresh enough to accept its API keys.
     bool keys_hold(base::monotonic_time now) const;
+    /// @return whether the policy is fresh enough to refuse requests by it.
     bool refusals_hold(base::monotonic_time now) const;
 
   private:
@@ -112,7 +129,7 @@
     std::shared_ptr<const core::traffic::traffic_policy> m_current;
     std::map<std::string, version_history> m_versions;
     std::optional<base::monotonic_time> m_confirmed_at;
-    std::optional<base::monotonic_time> m_awaiting_since;
+    std::optional<base::monotonic_time> m_awaiting_record_since;
 };
 
 }  // namespace ferryroad::relay
--- a/test/relay/canary_traffic_test.cpp
+++ b/test/relay/canary_traffic_test.cpp
@@ -1,4 +1,5 @@
-/// Which engines requests may get while a pool's software is released, and what is learned of them.
+/// Routing during a software release of a pool: which engines get requests, which requests go to
+/// the canary, and which results are counted.
 #include "ferryroad/relay/canary_traffic.hpp"
 
 #include "ferryroad/relay/exchange_evidence.hpp"
@@ -56,14 +57,14 @@
         release_filter filter(&traffic, canary, now);
         return filter.allows(engine(name));
     }
-    /// A trial with one canary engine.
+    /// Starts a trial with one canary engine.
     void begin_trial() {
         order();
         add("n1", "v2", start + 1s);
         traffic.confirmed(start + 2s);
         traffic.told(notice(release_phase::trial), start + 2s);
     }
-    /// @return requests of `count` that are chosen.
+    /// @return how many of `count` requests are selected for the canary.
     int choose(int count, base::monotonic_time now) {
         int chosen = 0;
         for (int request = 0; request < count; ++request) {
@@ -91,7 +92,7 @@
 
 }  // namespace
 
-Test(canary_traffic, without_an_order_new_versions_wait_only_for_a_confirmation) {
+Test(canary_traffic, new_versions_without_an_order_need_only_a_confirmation) {
     fixture at;
     at.add("n1", "v2", start + 1s);
     cr_assert(at.allows("e1", false, start + 1s));
@@ -102,7 +103,7 @@
     cr_assert(at.allows("e1", false, start + 1s));
 }
 
-Test(canary_traffic, a_pool_is_never_left_without_engines) {
+Test(canary_traffic, pool_keeps_serving_without_a_permitted_engine) {
     fixture at;
     at.registry.remove(base::engine_name("e1"));
     at.registry.remove(base::engine_name("e2"));
@@ -112,7 +113,7 @@
     cr_assert(at.allows("n2", false, start + 1s));
     at.order();
     cr_assert_not(at.allows("n1", false, start + 1s), "the target of an order");
-    cr_assert(at.allows("n2", false, start + 1s), "lacks a confirmation alone");
+    cr_assert(at.allows("n2", false, start + 1s), "lacks only a confirmation");
     engine_registry registry;
     canary_traffic fresh(registry, {});
     registry.put(at.engine("n1").listed, start);
@@ -121,7 +122,7 @@
     cr_assert(filter.allows(*registry.find(base::engine_name("n1"))), "nothing confirmed yet");
 }
 
-Test(canary_traffic, in_a_trial_a_share_goes_to_the_canary_and_nothing_else_does) {
+Test(canary_traffic, trial_sends_only_the_exposure_share_to_the_canary) {
     fixture at;
     at.begin_trial();
     cr_assert_not(at.allows("n1", false, start + 2s));
@@ -131,24 +132,24 @@
     cr_assert(at.allows("n1", true, start + 2s));
     cr_assert_not(at.allows("e1", true, start + 2s));
     cr_assert(at.allows("e1", false, start + 2s));
-    cr_assert_eq(at.choose(100, start + 4s), 0, "the grant has ended");
+    cr_assert_eq(at.choose(100, start + 4s), 0, "the phase notice has expired");
     cr_assert_eq(at.traffic.find(pool)->exposed, chosen);
 }
 
-Test(canary_traffic, a_canary_that_takes_nothing_now_is_passed_over) {
+Test(canary_traffic, skips_a_canary_that_refuses_work) {
     fixture at;
     at.begin_trial();
     cr_assert_gt(at.choose(100, start + 2s), 0);
     at.registry.find(base::engine_name("n1"))->refuses_until = start + 3s;
     cr_assert_not(at.allows("n1", true, start + 2s));
     at.traffic.give_back(pool, route);
-    cr_assert_gt(at.choose(1, start + 2s), 0, "what was given back is there");
+    cr_assert_gt(at.choose(1, start + 2s), 0, "the returned budget is available");
     at.registry.remove(base::engine_name("n1"));
     at.traffic.engines_changed(start + 2s);
-    cr_assert_eq(at.choose(1000, start + 2s), 0, "nobody to send to");
+    cr_assert_eq(at.choose(1000, start + 2s), 0, "there is no canary engine");
 }
 
-Test(canary_traffic, from_promoted_on_the_old_version_only_gives_state) {
+Test(canary_traffic, promotion_leaves_the_old_version_as_a_state_source_only) {
     fixture at;
     at.begin_trial();
     cr_assert(at.traffic.may_give_state(at.engine("e1"), start + 2s));
@@ -161,7 +162,7 @@
     cr_assert_eq(at.traffic.unrepeatable_at_replaced(pool), 1);
 }
 
-Test(canary_traffic, a_refused_version_gets_and_gives_nothing) {
+Test(canary_traffic, refused_version_gets_no_requests_and_provides_no_state) {
     fixture at;
     at.begin_trial();
     auto told = at.notice(release_phase::rolled_back);
@@ -176,7 +177,7 @@
     cr_assert_not(at.traffic.order_under_way(pool).has_value());
 }
 
-Test(canary_traffic, counts_say_what_a_router_saw_by_itself) {
+Test(canary_traffic, own_counts_stop_the_trial_of_a_bad_version) {
     fixture at;
     at.begin_trial();
     for (int request = 0; request < 400; ++request) {
@@ -187,17 +188,17 @@
         at.begun("n1").answered(500, start + 2s + 20ms);
     }
     cr_assert(at.traffic.look(pool));
-    cr_assert_not(at.traffic.look(pool), "told once");
+    cr_assert_not(at.traffic.look(pool), "reported once");
     cr_assert_eq(at.choose(100, start + 2s), 0);
     cr_assert_eq(at.counts().current.answered, 400);
     cr_assert_eq(at.counts().canary.failed, 60);
 }
 
-Test(exchange_evidence, times_are_for_the_same_work) {
+Test(exchange_evidence, durations_are_for_comparable_work) {
     fixture at;
     at.begin_trial();
     at.begun("e1").answered(200, start + 2s + 50ms);
-    cr_assert_eq(at.counts().current.durations[class_of(50ms)], 1, "a whole answer");
+    cr_assert_eq(at.counts().current.durations[class_of(50ms)], 1, "duration of a whole answer");
     auto stream = at.begun("n1", 300ms);
     for (const auto event : {400ms, 420ms, 440ms}) {
         stream.event(start + 2s + event);
@@ -208,14 +209,16 @@
     two_events.event(start + 2s + 400ms);
     two_events.event(start + 2s + 800ms);
     two_events.answered(200, start + 3s);
-    cr_assert_eq(at.counts().canary.durations[class_of(100ms)], 1, "without the reading");
+    cr_assert_eq(at.counts().canary.durations[class_of(100ms)], 1,
+                 "excluding the prompt computation");
     auto warm = at.begun("n1", 300ms);
     warm.event(start + 2s + 100ms);
     warm.answered(200, start + 3s);
-    cr_assert_eq(at.counts().canary.durations[class_of(1ms)], 1, "read faster than expected");
+    cr_assert_eq(at.counts().canary.durations[class_of(1ms)], 1,
+                 "prompt computed faster than expected");
 }
 
-Test(exchange_evidence, engines_that_have_just_started_are_not_timed) {
+Test(exchange_evidence, engines_in_warm_up_are_not_timed) {
     fixture at;
     at.begin_trial();
     listed_engine slow = at.engine("n1").listed;
@@ -224,7 +227,7 @@
     at.registry.put(slow, start + 2s);
     at.traffic.engines_changed(start + 2s);
     cr_assert_gt(at.choose(100, start + 2s), 0);
-    cr_assert_not(at.allows("n2", true, start + 2s), "one is warm");
+    cr_assert_not(at.allows("n2", true, start + 2s), "another canary has finished its warm-up");
     at.begun("n2").answered(200, start + 3s);
     at.begun("n2").answered(500, start + 3s);
     cr_assert_eq(at.counts().canary.answered, 2);
@@ -233,10 +236,10 @@
     at.registry.remove(base::engine_name("n1"));
     at.traffic.engines_changed(start + 2s);
     cr_assert_gt(at.choose(100, start + 2s), 0);
-    cr_assert(at.allows("n2", true, start + 2s), "none is");
+    cr_assert(at.allows("n2", true, start + 2s), "no canary has finished its warm-up");
 }
 
-Test(exchange_evidence, only_what_the_engine_did_counts) {
+Test(exchange_evidence, counts_only_results_caused_by_the_engine) {
     fixture at;
     at.begin_trial();
     const base::monotonic_time now = start + 2s + 30ms;
@@ -254,12 +257,12 @@
     for (const auto later : {0ms, 10ms, 900ms}) {
         at.begun("n1").failed(failure(failure_kind::broken), true, true, now + later);
     }
-    cr_assert_eq(at.counts().canary.failed, 2, "one crash");
+    cr_assert_eq(at.counts().canary.failed, 2, "failures within the crash window count once");
     at.begun("n1").failed(failure(failure_kind::broken), true, true, now + 1s);
     cr_assert_eq(at.counts().canary.failed, 3);
 }
 
-Test(exchange_evidence, what_began_before_the_order_or_under_another_is_left_out) {
+Test(exchange_evidence, ignores_exchanges_begun_under_another_order) {
     fixture at;
     auto early = at.begun("e1");
     at.begin_trial();
--- a/test/relay/distance_meter_test.cpp
+++ b/test/relay/distance_meter_test.cpp
@@ -1,4 +1,4 @@
-/// Bytes are counted under how far they go and what they are.
+/// Messages and bytes are counted by kind of traffic and distance.
 #include "ferryroad/relay/distance_meter.hpp"
 
 #include "test/relay/fake_network.hpp"
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-Test(distance_meter, kinds_and_distances_are_kept_apart) {
+Test(distance_meter, counts_by_kind_and_distance) {
     distance_meter counted = meter();
     counted.add(traffic_kind::request, base::zone_name("c"), 100);
     counted.add(traffic_kind::request, base::zone_name("c"), 50);
@@ -37,14 +37,14 @@
     cr_assert(counted.totals() == expected);
 }
 
-Test(distance_meter, what_goes_to_routers_counts_by_their_zones) {
+Test(distance_meter, counts_messages_to_routers_by_their_zones) {
     distance_meter counted = meter();
     ferryroad::relay::test::fake_network network;
     ferryroad::relay::test::fake_transport inner(network, {"10.0.0.9", 7});
     metered_transport notices(inner, counted, traffic_kind::notice);
     notices.send(near_router, "12345");
     notices.send(far_router, "123");
-    notices.send({"10.0.0.77", 7}, "1");  // Of a router that isn't known.
+    notices.send({"10.0.0.77", 7}, "1");  // An unknown router.
     const std::vector<metered_bytes> expected = {
         {traffic_kind::notice, distance::same_zone, 1, 1},
         {traffic_kind::notice, distance::other_zone, 1, 5},
--- a/test/relay/naming_journal_test.cpp
+++ b/test/relay/naming_journal_test.cpp
@@ -1,4 +1,4 @@
-/// The record of naming times crosses from one router to the next by the table's clock.
+/// Naming times are passed from one router to another through the table, converted by its clock.
 #include "ferryroad/relay/naming_journal.hpp"
 
 #include "test/http/loopback.hpp"
@@ -11,7 +11,8 @@
 
 namespace {
 
-class kept_rows final : public platform::table {
+/// A table in memory that can be made unavailable.
+class memory_table final : public platform::table {
   public:
     runtime::task<platform::result<std::vector<platform::transaction_outcome>>> transact(
         std::vector<platform::transaction> transactions) override {
@@ -57,7 +58,7 @@
 
 }  // namespace
 
-Test(owner_clock, errs_towards_earlier_moments) {
+Test(owner_clock, conversions_are_lower_bounds) {
     owner_clock clock;
     const base::monotonic_time asked(100s);
     clock.observe(asked, asked + 10ms, 5000ms);
@@ -69,9 +70,9 @@
     cr_assert(clock.to_local(5000) == asked);
 }
 
-Test(naming_journal, a_router_that_starts_later_learns_when_weights_were_named) {
+Test(naming_journal, a_later_router_reads_when_weights_were_named) {
     ferryroad::test::loopback loop;
-    kept_rows table;
+    memory_table table;
     router first(loop, table, true);
     const base::monotonic_time now = loop.scheduler.now();
     first.journal.clock().observe(now, now, 70s);
@@ -98,9 +99,9 @@
     cr_assert(of_second >= now - 1s - 10ms);
 }
 
-Test(naming_journal, waits_for_a_table_that_is_down_and_never_writes_unless_it_leads) {
+Test(naming_journal, retries_an_unavailable_table_and_writes_only_when_leading) {
     ferryroad::test::loopback loop;
-    kept_rows table;
+    memory_table table;
     table.down = true;
     router one(loop, table, false);
     one.journal.clock().observe(loop.scheduler.now(), loop.scheduler.now(), 1s);
--- a/test/relay/policy_source_test.cpp
+++ b/test/relay/policy_source_test.cpp
@@ -1,4 +1,5 @@
-/// Versions only rise; ages are checked at use; weights are outdated since the first newer ones.
+/// Policy versions never go back; staleness is checked at use; weights are outdated from the time
+/// at which the next newer version may have been named.
 #include "ferryroad/relay/policy_source.hpp"
 
 #include <criterion/criterion.h>
@@ -20,7 +21,7 @@
 
 }  // namespace
 
-Test(policy_source, an_older_declaration_never_replaces_a_newer_one) {
+Test(policy_source, older_declarations_are_ignored) {
     policy_source source(policy_bounds{});
     cr_assert(source.offer(version(5)));
     cr_assert_not(source.offer(version(5)));
@@ -30,22 +31,22 @@
     cr_assert_eq(source.current()->version(), 9);
 }
 
-Test(policy_source, keys_hold_while_confirmed_and_no_longer) {
+Test(policy_source, keys_are_valid_only_while_confirmed) {
     policy_source source(policy_bounds_for(true, 5s));
     cr_assert_not(source.keys_hold(start));
     source.confirm(start);
     cr_assert(source.keys_hold(start + 2800ms));
     cr_assert_not(source.keys_hold(start + 3s));
-    source.confirm(start - 1s);  // An older confirmation takes nothing back.
+    source.confirm(start - 1s);  // An older confirmation has no effect.
     cr_assert(source.keys_hold(start + 2800ms));
 }
 
-Test(policy_source, keys_hold_for_ever_where_no_confirmation_is_asked_for) {
+Test(policy_source, keys_stay_valid_if_no_confirmation_is_required) {
     policy_source source(policy_bounds_for(false, 5s));
     cr_assert(source.keys_hold(start));
 }
 
-Test(policy_source, weights_are_outdated_since_the_first_newer_ones) {
+Test(policy_source, weights_are_outdated_from_the_next_newer_version) {
     policy_source source(policy_bounds{});
     source.confirm(start);
     cr_assert(source.name_version(model, 2));
@@ -59,7 +60,7 @@
     cr_assert_not(source.versions_of("other").outdated_since(1).has_value());
 }
 
-Test(policy_source, a_long_history_keeps_the_earliest_moment) {
+Test(policy_source, long_history_keeps_the_earliest_time) {
     policy_source source(policy_bounds{});
     for (std::uint64_t number = 2; number < 100; ++number) {
         source.confirm(start + std::chrono::seconds(number));
@@ -70,45 +71,45 @@
     cr_assert_eq(source.versions_of(model).newest(), 99);
 }
 
-Test(policy_source, what_was_recorded_tells_a_new_process_when_weights_were_named) {
+Test(policy_source, recorded_namings_set_times_in_a_new_process) {
     policy_source source(policy_bounds{});
     source.name_version(model, 2);
     source.name_version(model, 4);
     source.name_version("unrecorded", 2);
-    source.learn_naming(model, 2, start);
-    source.learn_newer({{model, 2}}, start + 5s);
+    source.add_recorded_naming(model, 2, start);
+    source.raise_unrecorded_namings({{model, 2}}, start + 5s);
     cr_assert(source.versions_of(model).outdated_since(1) == start);
     cr_assert(source.versions_of(model).outdated_since(2) == start + 5s);
     cr_assert(source.versions_of("unrecorded").outdated_since(1) == start + 5s);
-    source.learn_naming(model, 4, start + 1s);  // What is known better stays.
+    source.add_recorded_naming(model, 4, start + 1s);  // A later lower bound is kept.
     cr_assert(source.versions_of(model).outdated_since(2) == start + 5s);
 }
 
-Test(policy_source, while_the_record_cant_be_read_weights_are_outdated_since_the_start) {
+Test(policy_source, weights_count_as_outdated_from_the_start_until_the_record_is_read) {
     policy_source policies{policy_bounds{}};
     policies.name_version("m", 2);
     policies.await_record(start);
     cr_assert(policies.outdated_since("m", 1) == start);
     cr_assert_not(policies.outdated_since("m", 2).has_value());
-    policies.learn_naming("m", 2, start - 5s);
-    policies.take_record();
+    policies.add_recorded_naming("m", 2, start - 5s);
+    policies.finish_record_read();
     cr_assert(policies.outdated_since("m", 1) == start - 5s);
 }
 
-Test(policy_source, versions_between_that_only_the_record_knows_count_too) {
+Test(policy_source, inserts_versions_known_only_from_the_record) {
     policy_source source(policy_bounds{});
-    source.name_version(model, 4);  // All that a new process is told.
-    source.learn_naming(model, 2, start);
-    source.learn_naming(model, 3, start + 4s);
-    source.learn_naming(model, 4, start + 9s);
+    source.name_version(model, 4);  // A new process receives only the newest version.
+    source.add_recorded_naming(model, 2, start);
+    source.add_recorded_naming(model, 3, start + 4s);
+    source.add_recorded_naming(model, 4, start + 9s);
     cr_assert(source.versions_of(model).outdated_since(1) == start);
     cr_assert(source.versions_of(model).outdated_since(2) == start + 4s);
     cr_assert(source.versions_of(model).outdated_since(3) == start + 9s);
-    source.learn_naming(model, 7, start);  // Newer than what the owner has told.
+    source.add_recorded_naming(model, 7, start);  // Newer than any version received from the owner.
     cr_assert_eq(source.versions_of(model).newest(), 4);
 }
 
-Test(policy_source, a_request_on_old_weights_needs_time_to_begin) {
+Test(policy_source, outdated_limit_leaves_a_margin_for_messages) {
     cr_assert(outdated_limit_for(8s) < 8s);
     cr_assert(outdated_limit_for(8s) > 7s);
     cr_assert(outdated_limit_for(100ms) == 50ms);
