--- a/src/ferryroad/relay/engine_registry.hpp
+++ b/src/ferryroad/relay/engine_registry.hpp
@@ -49,8 +49,8 @@
     listed_engine listed;
     std::uint64_t process = 0;  ///< Router-local number that identifies the process.
     core::placement::engine_health health;
-    std::map<std::string, std::uint64_t>
-        versions;                    ///< Newest version of the weights seen, by model.
+    /// Newest version of the weights seen, by model.
+    std::map<std::string, std::uint64_t> versions;
     std::uint32_t running = 0;       ///< This router's requests at the engine.
     std::uint32_t unrepeatable = 0;  ///< Those of `running` that are lost if the engine fails.
     std::uint64_t pending_prefill_tokens = 0;  ///< Prompt tokens of requests without a first event.
--- a/src/ferryroad/relay/table_follower.hpp
+++ b/src/ferryroad/relay/table_follower.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// Keeps a copy of an outside table fresh: reads it whole, then follows its changes, and reads
-/// it whole again whenever the history it would need is gone or the copy could be behind.
+/// Maintains a local copy of a table of an external service: reads a snapshot, then follows the
+/// table's changes, and reads a new snapshot when the changes it needs are no longer kept or some
+/// could have been missed.
 #pragma once
 
 #include "ferryroad/base/time.hpp"
@@ -24,15 +25,15 @@
 using coordination::reading::record_batch;
 
 enum class feed_fault {
-    history_gone,  ///< The changes since then are no longer kept.
+    history_gone,  ///< The changes after the requested version are no longer kept.
     unavailable,   ///< No answer, or a refusal.
-    no_source,     ///< The same, of those who tell changes after any version: none is missed.
-    malformed      ///< An answer that makes no sense.
+    no_source,     ///< As `unavailable`, but the sources keep all changes, so none are missed.
+    malformed      ///< The answer is inconsistent.
 };
 
-/// `read_all` reads a table as of one moment; `read_changes` answers what changed after a
-/// version, waiting up to `wait` for something. Both give up where nothing has come within
-/// `limit`, not while more of an answer comes.
+/// Source of a table's rows. `read_all` reads a snapshot of a table; `read_changes` returns the
+/// changes after a version, waiting up to `wait` for the first one. Both time out if nothing is
+/// received for `limit`, but not while an answer is being received.
 template <typename T>
 concept record_feed = requires(T& feed, const std::string& table, std::uint64_t after,
                                base::duration wait, base::duration limit) {
@@ -46,31 +47,32 @@
 
 struct follower_settings {
     std::string table;
-    base::duration wait{};  ///< For changes, in one call.
-    base::duration pace{};  ///< Between the starts of two calls, at least.
-    /// The same for the first calls, where a table fills while everyone starts.
+    base::duration wait{};  ///< How long one call may wait for changes.
+    base::duration pace{};  ///< Minimum time between the starts of two calls.
+    /// `pace` for the first `first_calls` calls, while the table fills because all routers start.
     base::duration first_pace{};
     std::uint32_t first_calls = 0;
-    base::duration call_limit = std::chrono::milliseconds(500);  ///< Beyond `wait`.
-    /// Rows whose keys begin with none of these are passed over; empty: none is.
+    base::duration call_limit = std::chrono::milliseconds(500);  ///< Call timeout beyond `wait`.
+    /// Only rows whose key begins with one of these are kept; empty to keep all.
     std::vector<std::string> key_prefixes;
-    /// Changes of which other routers need not be told; none where empty.
+    /// Recognizes changes that need not be passed on to other routers; if empty, all are passed on.
     coordination::reading::same_meaning same_meaning;
     base::duration first_backoff = std::chrono::milliseconds(100);
     base::duration longest_backoff = std::chrono::milliseconds(400);
-    /// Consecutive faults after which the dependency counts as lost.
+    /// Consecutive failed calls after which the loss of the table is logged.
     std::uint32_t faults_until_lost = 2;
 };
 
-/// What the follower tells. Called on the event loop's thread.
+/// Callbacks of the follower, called on the event loop's thread.
 struct follower_events {
-    std::function<void(const std::vector<record>&)> whole;  ///< All there is.
-    std::function<void(const record&)> changed;             ///< Put or deleted.
-    /// Everything accepted before the confirmation's moment has been told.
-    std::function<void(const confirmation&)> confirmed;
+    /// A snapshot replaces the copy.
+    std::function<void(const std::vector<record>&)> on_snapshot;
+    std::function<void(const record&)> on_change;  ///< A row was put or deleted.
+    /// All changes accepted before the confirmation's time have been reported.
+    std::function<void(const confirmation&)> on_confirmed;
 };
 
-/// Kept until the loop has ended. Feed and scheduler outlive it.
+/// Must exist until the event loop has ended. The feed and the scheduler must outlive it.
 template <record_feed Feed>
 class table_follower {
   public:
@@ -83,11 +85,12 @@
           m_copy(m_settings.same_meaning),
           m_backoff(m_settings.first_backoff) {}
 
-    /// Called once.
+    /// Starts following. Must be called at most once.
     void start() { m_scheduler.spawn(component, run()); }
+    /// Ends following after the call in progress.
     void stop() { m_stopped = true; }
     const follower_settings& settings() const { return m_settings; }
-    /// @return what is known of the table, for those who take their copy from here.
+    /// @return the copy of the table, for serving it to other routers.
     const coordination::reading::table_mirror& copy() const { return m_copy; }
 
   private:
@@ -96,79 +99,81 @@
     runtime::task<void> run() {
         while (!m_stopped) {
             const base::monotonic_time asked_at = m_scheduler.now();
-            const bool sound = m_whole ? co_await follow(asked_at) : co_await load(asked_at);
-            const base::duration rest = sound ? current_pace() : jittered_backoff();
-            const base::monotonic_time next = asked_at + rest;
+            const bool succeeded =
+                m_loaded ? co_await read_changes(asked_at) : co_await read_snapshot(asked_at);
+            const base::duration delay = succeeded ? current_pace() : jittered_backoff();
+            const base::monotonic_time next = asked_at + delay;
             if (next > m_scheduler.now()) {
                 co_await m_scheduler.sleep_until(next);
             }
         }
     }
 
-    runtime::task<bool> load(base::monotonic_time asked_at) {
+    runtime::task<bool> read_snapshot(base::monotonic_time asked_at) {
         auto batch = co_await m_feed.read_all(m_settings.table, m_settings.call_limit);
         if (!batch) {
-            note_fault(batch.error());
+            record_fault(batch.error());
             co_return false;
         }
         if (batch->version < m_copy.version()) {
-            note_fault(feed_fault::malformed);  // Older than what was told before.
+            record_fault(feed_fault::malformed);  // Older than what was reported.
             co_return false;
         }
-        keep_wanted(batch->records);
+        remove_unwanted(batch->records);
         m_copy.replace(batch->records, batch->version);
-        m_events.whole(batch->records);
-        m_whole = true;
-        take(*batch, asked_at);
+        m_events.on_snapshot(batch->records);
+        m_loaded = true;
+        accept(*batch, asked_at);
         co_return true;
     }
 
-    runtime::task<bool> follow(base::monotonic_time asked_at) {
+    /// @return whether the next call may follow without a backoff.
+    runtime::task<bool> read_changes(base::monotonic_time asked_at) {
         const base::duration limit = m_settings.wait + m_settings.call_limit;
         auto batch = co_await m_feed.read_changes(m_settings.table, m_copy.version(),
                                                   m_settings.wait, limit);
         if (!batch) {
-            // Else changes may pass unseen while the feed is broken.
-            m_whole = batch.error() == feed_fault::no_source;
-            note_fault(batch.error());
+            // Changes could be missed while the feed is broken, so a snapshot is needed.
+            m_loaded = batch.error() == feed_fault::no_source;
+            record_fault(batch.error());
             co_return batch.error() == feed_fault::history_gone;
         }
         if (batch->version < m_copy.version()) {
-            m_whole = false;
-            note_fault(feed_fault::malformed);
+            m_loaded = false;
+            record_fault(feed_fault::malformed);
             co_return false;
         }
-        keep_wanted(batch->records);
+        remove_unwanted(batch->records);
         for (const record& one : batch->records) {
             m_copy.change(one);
-            m_events.changed(one);
+            m_events.on_change(one);
         }
-        take(*batch, asked_at);
+        accept(*batch, asked_at);
         co_return true;
     }
 
-    void take(const record_batch& batch, base::monotonic_time asked_at) {
-        // Nobody can have asked the owner later than now, whatever another router says.
+    void accept(const record_batch& batch, base::monotonic_time asked_at) {
+        // Another router's answer may be wrong: the owner cannot have been asked after now.
         const base::monotonic_time as_of =
             std::min(asked_at + batch.owner_asked_after, m_scheduler.now());
-        const confirmation told{batch.version, as_of, batch.owner_time};
-        m_copy.confirm(told);
+        const confirmation current{batch.version, as_of, batch.owner_time};
+        m_copy.confirm(current);
         m_backoff = m_settings.first_backoff;
         if (m_faults >= m_settings.faults_until_lost) {
-            runtime::log(runtime::log_level::info, component, "dependency regained",
+            runtime::log(runtime::log_level::info, component, "table source regained",
                          {{"table", m_settings.table}, {"version", version_text()}});
         }
         m_faults = 0;
-        m_events.confirmed(told);
+        m_events.on_confirmed(current);
     }
 
     base::duration current_pace() {
-        const bool first = m_sound_calls < m_settings.first_calls;
-        ++m_sound_calls;
-        return first ? m_settings.first_pace : m_settings.pace;
+        const bool is_first = m_successful_calls < m_settings.first_calls;
+        ++m_successful_calls;
+        return is_first ? m_settings.first_pace : m_settings.pace;
     }
 
-    void keep_wanted(std::vector<record>& records) const {
+    void remove_unwanted(std::vector<record>& records) const {
         std::erase_if(records, [&](const record& one) { return !is_wanted(one.key); });
     }
 
@@ -186,13 +191,13 @@
         return no_answer ? "unavailable" : "stale";
     }
 
-    void note_fault(feed_fault fault) {
+    void record_fault(feed_fault fault) {
         ++m_faults;
         if (m_faults != m_settings.faults_until_lost) {
             return;
         }
         runtime::log(
-            runtime::log_level::warning, component, "dependency lost",
+            runtime::log_level::warning, component, "table source lost; keeping the last copy",
             {{"table", m_settings.table}, {"version", version_text()}, {"fault", name_of(fault)}});
     }
 
@@ -209,8 +214,8 @@
     coordination::reading::table_mirror m_copy;
     base::duration m_backoff;
     std::uint32_t m_faults = 0;
-    std::uint32_t m_sound_calls = 0;
-    bool m_whole = false;
+    std::uint32_t m_successful_calls = 0;
+    bool m_loaded = false;
     bool m_stopped = false;
 };
 
--- a/src/ferryroad/relay/tunables.hpp
+++ b/src/ferryroad/relay/tunables.hpp
@@ -1,6 +1,5 @@
 /// @file
-/// How often a router asks, how long it holds and keeps: defaults for any deployment, in one
-/// place.
+/// Periods, timeouts and limits of a router that apply to every deployment.
 #pragma once
 
 #include "ferryroad/http/client.hpp"
@@ -18,14 +17,15 @@
 
 namespace ferryroad::relay {
 
-/// Until the first count: more than a deployment is likely to have, so that limits hold.
+/// Number of routers assumed until they are first counted. Larger than a deployment is likely to
+/// be, so that each router's part of a limit is not too large.
 inline constexpr std::size_t assumed_routers = 100;
-/// Between two looks at whether the settings file has changed.
+/// Time between two checks for changes of the settings file.
 inline constexpr base::duration settings_look_period = std::chrono::seconds(1);
 
-/// What operators declare must be in force at once: changes are waited for. An answer without
-/// one confirms the copy; it is at most twice this old, well within the time in which a key that
-/// was taken away must stop.
+/// Settings for following the operators' declarations, which must be in force at once: calls wait
+/// for changes. An answer without changes confirms the copy, which is thus at most twice `wait`
+/// old. That is well within the time in which a revoked key must stop being accepted.
 inline follower_settings follow_declarations(std::string table) {
     follower_settings settings;
     settings.table = std::move(table);
@@ -33,10 +33,12 @@
     return settings;
 }
 
-/// Engines write all the time that they live: changes are fetched from the store in batches.
+/// Minimum time between two reads of the engine list from the store. Engines update their rows all
+/// the time, so changes are read in batches.
 inline constexpr base::duration engine_list_pace = std::chrono::milliseconds(500);
 
-/// Other routers tell the changes that mean something as soon as they know them.
+/// Settings for following the engine list. Other routers pass on relevant changes as soon as they
+/// receive them.
 inline follower_settings follow_engines(std::string table,
                                         coordination::reading::same_meaning same_meaning) {
     follower_settings settings;
@@ -45,26 +47,27 @@
     return settings;
 }
 
-/// @param bound after an engine said that it leaves, how long requests may still reach it.
-/// @return what is expected of the list of engines. A router turns to the store when its copy is
-/// 0.6 of the bound old: a silent source before that and a lost call to the store after it (0.3 s
-/// each) still fit. Where 2.5 s passed as current with a bound of 2 s, a request reached an engine
-/// 2.45 s after (logs of a fleet of 8).
+/// @param bound how long requests may still reach an engine after it announced that it leaves.
+/// @return the freshness required of the engine list. A router reads the store when its copy is 0.6
+/// of the bound old. That leaves room for an unresponsive source before and a lost call to the
+/// store after, 0.3 s each. When a copy counted as current up to 2.5 s with a bound of 2 s, a
+/// request reached an engine 2.45 s after its announcement (logs of a fleet of 8).
 inline table_terms engine_list_terms(base::duration bound) {
-    constexpr double used_share = 0.6;
-    return {engine_list_pace, base::from_seconds(base::to_seconds(bound) * used_share)};
+    constexpr double max_age_share = 0.6;
+    return {engine_list_pace, base::from_seconds(base::to_seconds(bound) * max_age_share)};
 }
 
-/// @param bound after a change of what operators declare, how long until it must be in force.
-/// @return what is expected of it. A reader's copy of an idle table is up to 1.5 s old, as it waits
-/// 0.75 s for news: a lower share would make readers of all routers.
+/// @param bound how long after a change of the declarations it must be in force.
+/// @return the freshness required of the declarations. The copy of a router that reads an idle
+/// table is up to 1.5 s old, as its calls wait 0.75 s for changes; a lower share would make all
+/// routers read the store.
 inline table_terms declaration_terms(base::duration bound) {
-    constexpr double used_share = 0.8;
-    return {{}, base::from_seconds(base::to_seconds(bound) * used_share)};
+    constexpr double max_age_share = 0.8;
+    return {{}, base::from_seconds(base::to_seconds(bound) * max_age_share)};
 }
 
-/// Who takes part changes seldom, and nothing waits for it; but routers that start together
-/// read the store all by themselves until they know each other.
+/// Settings for following the list of routers. It changes seldom and nothing waits for it, but
+/// routers that start together all read the store until they know each other.
 inline follower_settings follow_routers(std::string table) {
     follower_settings settings;
     settings.table = std::move(table);
@@ -76,10 +79,10 @@
     return settings;
 }
 
-/// @param link_megabits a second, of this router's machine; 0: unknown.
-/// @return bytes of changed rows that it passes on: to tell all routers below it so much takes
-/// about the time that a call may take beyond its hold. What is larger arrives sooner where each of
-/// them reads it from the owner over its own link.
+/// @param link_megabits network bandwidth of this router's machine in Mbit/s; 0 if unknown.
+/// @return maximum size in bytes of changed rows that the router passes on. Sending this much to
+/// all its children in the distribution tree takes about the call margin. Larger changes arrive
+/// sooner if each child reads them from the owner over its own link.
 inline std::size_t relayed_bytes_for(double link_megabits) {
     constexpr double bytes_per_megabit = 1e6 / 8;
     constexpr double assumed_megabits = 10;
@@ -90,28 +93,33 @@
                                     static_cast<double>(feed.sources.tree.degree));
 }
 
-/// @return bytes of an owner's answer above which its rows are too large to be passed on, most
-/// likely: rows come as text of 4 characters for 3 bytes.
+/// @param link_megabits network bandwidth of this router's machine in Mbit/s; 0 if unknown.
+/// @return size in bytes of an owner's answer above which its rows are most likely too large to be
+/// passed on. Rows are base64 in the answer: 4 characters for 3 bytes.
 inline std::size_t large_answer_bytes_for(double link_megabits) {
     return relayed_bytes_for(link_megabits) * peer::least_packing_ratio * 4 / 3;
 }
 
-/// Routers of its zone that a router which starts is told of: enough that few ask each of them at
-/// once, few enough that those which start together and read the owner themselves stay few.
+/// Number of routers of its zone that a starting router gets as contacts. Enough that few routers
+/// call the same contact at once; few enough that only few of the routers that start together have
+/// to read the owner themselves.
 inline constexpr std::uint32_t contact_count = 16;
+/// Timeout of the call that gets the contacts.
 inline constexpr base::duration contact_call_limit = std::chrono::milliseconds(700);
-/// A router that starts looks for others once its own row is listed, or after so long.
+/// How long a starting router waits for its own row to be listed before it looks for others.
 inline constexpr base::duration listing_limit = std::chrono::milliseconds(1500);
+/// Time between two checks for the own row.
 inline constexpr base::duration listing_look = std::chrono::milliseconds(10);
 
-/// @return what is expected of the list of routers, which is asked for so often.
+/// @return the freshness required of the list of routers, given the settings it is followed with.
 inline table_terms router_list_terms(const follower_settings& asked) {
     table_terms terms;
     terms.oldest += asked.pace;
     return terms;
 }
 
-/// Short, so that a holder that ended is followed soon.
+/// Settings of the rollout lease. Its duration is short, so that a holder that stopped is soon
+/// replaced.
 inline leases::lease_service_settings rollout_lease_settings() {
     leases::lease_service_settings settings;
     settings.lease.duration = std::chrono::milliseconds(1600);
@@ -122,7 +130,7 @@
     return settings;
 }
 
-/// An engine that takes no connection soon is left for another.
+/// Limits of connections to engines. The connect timeout is short, as another engine is tried next.
 inline http::client_limits engine_connections() {
     http::client_limits limits;
     limits.connect = std::chrono::milliseconds(300);
--- a/test/relay/table_follower_test.cpp
+++ b/test/relay/table_follower_test.cpp
@@ -1,4 +1,5 @@
-/// A copy of a table stays fresh, never goes back, and is read whole again after every doubt.
+/// A copy of a table stays fresh, never goes back to an older version, and is replaced by a
+/// snapshot whenever changes could have been missed.
 #include "ferryroad/relay/table_follower.hpp"
 
 #include "test/http/loopback.hpp"
@@ -12,18 +13,18 @@
 
 namespace {
 
-/// Answers each call with the next of its script; then waits.
+/// Answers each call with the next scripted answer; waits once there are none left.
 struct scripted_feed {
     using answer = runtime::result<record_batch, feed_fault>;
     runtime::scheduler& scheduler;
-    std::deque<answer> whole;
+    std::deque<answer> snapshots;
     std::deque<answer> changes;
     std::vector<std::uint64_t> asked_after;
-    int whole_calls = 0;
+    int snapshot_calls = 0;
 
     runtime::task<answer> read_all(std::string, base::duration) {
-        ++whole_calls;
-        return next(whole);
+        ++snapshot_calls;
+        return next(snapshots);
     }
     runtime::task<answer> read_changes(std::string, std::uint64_t after, base::duration,
                                        base::duration) {
@@ -83,9 +84,9 @@
 
 }  // namespace
 
-Test(table_follower, reads_whole_and_follows_from_there) {
+Test(table_follower, reads_a_snapshot_and_follows_changes) {
     fixture at;
-    at.feed.whole = {record_batch{{row("a", 3), row("b", 5)}, 7, {}}};
+    at.feed.snapshots = {record_batch{{row("a", 3), row("b", 5)}, 7, {}}};
     at.feed.changes = {record_batch{{row("c", 8)}, 8, {}},
                        record_batch{{row("a", 9, true)}, 9, {}}};
     at.run_until([&] { return at.confirmations == 3; });
@@ -94,41 +95,41 @@
     cr_assert_eq(at.feed.asked_after[1], 8);
 }
 
-Test(table_follower, a_lost_history_is_made_good_by_a_whole_read) {
+Test(table_follower, reads_a_snapshot_if_the_history_is_gone) {
     fixture at;
-    at.feed.whole = {record_batch{{row("a", 3)}, 7, {}}, record_batch{{row("b", 20)}, 21, {}}};
+    at.feed.snapshots = {record_batch{{row("a", 3)}, 7, {}}, record_batch{{row("b", 20)}, 21, {}}};
     at.feed.changes = {feed_fault::history_gone};
     at.run_until([&] { return at.confirmations == 2; });
     cr_assert(at.copy == (std::map<std::string, std::uint64_t>{{"b", 20}}));
 }
 
-Test(table_follower, a_broken_feed_confirms_nothing_until_a_whole_read) {
+Test(table_follower, broken_feed_confirms_nothing_until_a_snapshot) {
     fixture at;
-    at.feed.whole = {feed_fault::unavailable, record_batch{{row("a", 3)}, 7, {}},
-                     feed_fault::unavailable, record_batch{{row("a", 3)}, 7, {}}};
+    at.feed.snapshots = {feed_fault::unavailable, record_batch{{row("a", 3)}, 7, {}},
+                         feed_fault::unavailable, record_batch{{row("a", 3)}, 7, {}}};
     at.feed.changes = {feed_fault::unavailable, record_batch{{}, 7, {}}};
     at.run_until([&] { return at.feed.asked_after.size() == 3; });
     cr_assert_eq(at.confirmations, 3);
-    cr_assert_eq(at.feed.whole_calls, 4);
+    cr_assert_eq(at.feed.snapshot_calls, 4);
 }
 
-Test(table_follower, an_answer_older_than_what_was_told_is_not_taken) {
+Test(table_follower, ignores_answers_older_than_the_copy) {
     fixture at;
-    at.feed.whole = {record_batch{{row("a", 9)}, 10, {}}, record_batch{{row("a", 3)}, 4, {}},
-                     record_batch{{row("a", 12)}, 12, {}}};
+    at.feed.snapshots = {record_batch{{row("a", 9)}, 10, {}}, record_batch{{row("a", 3)}, 4, {}},
+                         record_batch{{row("a", 12)}, 12, {}}};
     at.feed.changes = {feed_fault::history_gone};
     at.run_until([&] { return at.confirmations == 2; });
     cr_assert_eq(at.copy["a"], 12);
-    cr_assert_eq(at.feed.whole_calls, 3);
+    cr_assert_eq(at.feed.snapshot_calls, 3);
 }
 
-Test(table_follower, routers_that_do_not_answer_make_no_whole_read_needed) {
+Test(table_follower, missing_sources_require_no_snapshot) {
     fixture at;
-    at.feed.whole = {record_batch{{row("a", 3)}, 7, {}}};
+    at.feed.snapshots = {record_batch{{row("a", 3)}, 7, {}}};
     at.feed.changes = {feed_fault::no_source, feed_fault::no_source,
                        record_batch{{row("b", 9)}, 9, {}}};
     at.run_until([&] { return at.confirmations == 2; });
-    cr_assert_eq(at.feed.whole_calls, 1);
+    cr_assert_eq(at.feed.snapshot_calls, 1);
     cr_assert(at.feed.asked_after == (std::vector<std::uint64_t>{7, 7, 7, 9}) ||
               at.feed.asked_after == (std::vector<std::uint64_t>{7, 7, 7}));
     cr_assert_eq(at.copy["b"], 9);
--- a/test/relay/table_freshness_test.cpp
+++ b/test/relay/table_freshness_test.cpp
@@ -1,10 +1,11 @@
-/// Engines that had said they were leaving still got requests 2.4 s later, from a router that the
-/// store would have answered at once. The two routers that read the store for all others had been
-/// cut off from it. Every router then asked around for the list of engines, one router each half
-/// second, and nearly all of those were as far behind. Answers on another table, which was current
-/// everywhere, made the router forget each time which copies of the list were old, and made it
-/// believe that its own was not. Its log showed eleven changes of source within four seconds and an
-/// age that rose from 2,323 to 3,618 ms; its own calls to the store in that time: none.
+/// Guards against a stale engine list on a router that can reach the store itself.
+///
+/// When the two routers that read the store for all others lose contact with it, the other routers
+/// search for a fresher copy among routers that are equally far behind, one each half second. If
+/// answers on another table, which is current everywhere, reset what is known about the age of the
+/// copies of the engine list, a router changes its source again and again (eleven times in four
+/// seconds, while the age rises from 2,323 to 3,618 ms) and never reads the store. Engines then get
+/// requests 2.4 s after announcing that they leave.
 #include "bench/simulation/virtual_scheduler.hpp"
 #include "ferryroad/relay/shared_feed.hpp"
 #include "ferryroad/relay/tunables.hpp"
@@ -26,11 +27,11 @@
 const std::string declarations = "declarations";
 const std::string engines = "engines";
 constexpr std::uint64_t known_version = 7;
-/// What a copy may be old by default, and one call on top of it.
+/// Default maximum age of a copy, plus one call.
 constexpr base::duration oldest_allowed = 2000ms + 700ms;
 
-/// The owner answers this router always, and holds calls for news that never come.
-struct sound_owner {
+/// An owner that always answers this router, and holds calls for changes that never come.
+struct reachable_owner {
     using answer = runtime::result<record_batch, feed_fault>;
     runtime::scheduler& scheduler;
     int engine_calls = 0;
@@ -49,27 +50,26 @@
     }
 };
 
-/// All other routers: their declarations are as old as those of a router that asks the owner each
-/// 750 ms and is answered at the end of that time; their lists of engines are current only until
-/// `engines_read_until`.
-class routers_behind final : public peer::transport {
+/// Transport to all other routers. Their declarations are as old as those of a router whose calls
+/// to the owner take 750 ms each; their engine lists are not updated after `engines_read_until`.
+class stale_routers final : public peer::transport {
   public:
-    explicit routers_behind(runtime::scheduler& scheduler) : m_scheduler(scheduler) {}
+    explicit stale_routers(runtime::scheduler& scheduler) : m_scheduler(scheduler) {}
     void on_datagram(datagram_handler) override {}
     void on_call(call_handler) override {}
     void send(const base::endpoint&, peer::message_bytes) override {}
     runtime::task<peer::result<peer::message_bytes>> call(const base::endpoint&,
                                                           peer::message_bytes request,
                                                           base::duration limit) override {
-        return are_silent ? say_nothing(limit) : answer(std::move(request));
+        return time_out_calls ? time_out(limit) : answer(std::move(request));
     }
     const peer::transport_counters& counters() const override { return m_counters; }
 
     base::monotonic_time engines_read_until = base::monotonic_time::max();
-    bool are_silent = false;
+    bool time_out_calls = false;
 
   private:
-    runtime::task<peer::result<peer::message_bytes>> say_nothing(base::duration limit) {
+    runtime::task<peer::result<peer::message_bytes>> time_out(base::duration limit) {
         co_await m_scheduler.sleep_for(limit);
         co_return peer::error{peer::error_code::timed_out, "no answer in time"};
     }
@@ -103,7 +103,7 @@
     return all;
 }
 
-/// One router of eight, which follows both tables.
+/// One of eight routers, which follows both tables.
 struct router {
     explicit router(std::uint64_t seed, const peer_address& self)
         : time(seed),
@@ -126,8 +126,8 @@
     }
     ~router() { scheduler.kill(); }
 
-    /// @return the greatest age that the list of engines has within the next `period`.
-    base::duration oldest_engines_for(base::duration period) {
+    /// @return the maximum age of the engine list within the next `period`.
+    base::duration max_engines_age_for(base::duration period) {
         base::duration oldest{};
         const base::monotonic_time end = time.now() + period;
         while (time.now() < end) {
@@ -139,31 +139,31 @@
 
     virtual_time time;
     virtual_scheduler scheduler;
-    routers_behind others;
-    sound_owner owner;
-    shared_feed<sound_owner> feed;
-    table_follower<shared_feed<sound_owner>> followed_declarations;
-    table_follower<shared_feed<sound_owner>> followed_engines;
+    stale_routers others;
+    reachable_owner owner;
+    shared_feed<reachable_owner> feed;
+    table_follower<shared_feed<reachable_owner>> followed_declarations;
+    table_follower<shared_feed<reachable_owner>> followed_engines;
     base::monotonic_time engines_as_of{};
 };
 
 }  // namespace
 
-Test(table_freshness, a_router_that_the_owner_answers_stays_current_while_all_others_are_behind) {
+Test(table_freshness, stays_current_through_the_owner_while_all_routers_are_stale) {
     std::uint64_t seed = 1;
     for (const peer_address& self : eight_routers()) {
         router one(seed++, self);
         one.time.run_until(one.time.now() + 5s);
         one.others.engines_read_until = one.scheduler.now();
-        const base::duration oldest = one.oldest_engines_for(20s);
+        const base::duration oldest = one.max_engines_age_for(20s);
         cr_expect_leq(base::to_milliseconds(oldest), base::to_milliseconds(oldest_allowed), "%s",
                       self.name.value.c_str());
     }
 }
 
-Test(table_freshness, the_list_of_engines_keeps_to_the_bound_for_engines_that_leave) {
+Test(table_freshness, engine_list_age_stays_within_the_bound_for_leaving_engines) {
     constexpr base::duration bound = 2000ms;
-    // To choose an engine, and for the request to get there.
+    // Time to select an engine and for the request to reach it.
     constexpr base::duration to_send = 200ms;
     std::uint64_t seed = 1;
     for (const bool silent : {false, true}) {
@@ -172,26 +172,26 @@
             one.feed.expect(engines, engine_list_terms(bound));
             one.time.run_until(one.time.now() + 5s);
             one.others.engines_read_until = one.scheduler.now();
-            one.others.are_silent = silent;
-            const base::duration oldest = one.oldest_engines_for(20s);
+            one.others.time_out_calls = silent;
+            const base::duration oldest = one.max_engines_age_for(20s);
             cr_expect_leq(base::to_milliseconds(oldest), base::to_milliseconds(bound - to_send),
-                          "%s, %s", self.name.value.c_str(), silent ? "silent" : "behind");
+                          "%s, %s", self.name.value.c_str(), silent ? "silent" : "stale");
         }
     }
 }
 
-Test(table_freshness, the_owner_is_read_no_faster_than_its_pace) {
+Test(table_freshness, reads_the_owner_no_faster_than_its_pace) {
     router one(1, eight_routers().front());
     one.feed.expect(engines, engine_list_terms(2s));
     one.time.run_until(one.time.now() + 5s);
-    one.others.are_silent = true;
+    one.others.time_out_calls = true;
     one.time.run_until(one.time.now() + 5s);
     const int before = one.owner.engine_calls;
     one.time.run_until(one.time.now() + 10s);
     cr_assert_leq(one.owner.engine_calls - before, 10s / engine_list_pace + 1);
 }
 
-Test(table_freshness, a_copy_that_ages_while_nothing_changes_costs_few_calls) {
+Test(table_freshness, idle_tables_cost_few_calls) {
     router one(1, eight_routers().front());
     one.feed.expect(declarations, declaration_terms(2s));
     one.feed.expect(engines, engine_list_terms(2s));
