--- a/src/ferryroad/relay/canary_traffic.cpp
+++ b/src/ferryroad/relay/canary_traffic.cpp
@@ -172,10 +172,10 @@
     if (one.canaries.empty()) {
         return false;
     }
-    const bool taken = one.budget.take(route);
+    const bool to_canary = one.budget.take(route);
     one.own.requests = one.budget.requests();
     one.own.exposed = one.budget.exposed();
-    return taken;
+    return to_canary;
 }
 
 void canary_traffic::give_back(const base::pool_name& pool, const base::route_name& route) {
@@ -250,14 +250,15 @@
     return m_gate.permits(engine.listed.pool, engine.listed.software, engine.listed_at, now);
 }
 
-bool canary_traffic::takes_canaries(const known_engine& engine, base::monotonic_time now) const {
+bool canary_traffic::accepts_canary_requests(const known_engine& engine,
+                                             base::monotonic_time now) const {
     const auto known = m_pools.find(engine.listed.pool);
     const bool chosen =
         known != m_pools.end() && known->second.canaries.contains(engine.listed.name);
     return chosen && !engine.health.suspended(now) && engine.refuses_until <= now;
 }
 
-bool canary_traffic::may_give_state(const known_engine& engine, base::monotonic_time now) const {
+bool canary_traffic::is_state_source(const known_engine& engine, base::monotonic_time now) const {
     if (m_pools.empty()) {
         return true;
     }
@@ -313,7 +314,8 @@
     }
     const auto found = permission_of(engine);
     if (m_canary) {
-        return found == release::permission::canary && m_releases->takes_canaries(engine, m_now);
+        return found == release::permission::canary &&
+               m_releases->accepts_canary_requests(engine, m_now);
     }
     return found == release::permission::all;
 }
--- a/src/ferryroad/relay/canary_traffic.hpp
+++ b/src/ferryroad/relay/canary_traffic.hpp
@@ -112,10 +112,10 @@
     coordination::release::permission permits(const known_engine& engine,
                                               base::monotonic_time now) const;
     /// @return whether the engine is a canary of its pool and accepts requests at present.
-    bool takes_canaries(const known_engine& engine, base::monotonic_time now) const;
+    bool accepts_canary_requests(const known_engine& engine, base::monotonic_time now) const;
     /// @return whether other engines may fetch KV state from the engine. False for versions that
     /// were refused or may not get requests yet.
-    bool may_give_state(const known_engine& engine, base::monotonic_time now) const;
+    bool is_state_source(const known_engine& engine, base::monotonic_time now) const;
     std::optional<base::monotonic_time> confirmed_at() const { return m_confirmed_at; }
     const coordination::release::version_gate& gate() const { return m_gate; }
     /// @return this router's state of the pool's order; null if the pool has none.
--- a/src/ferryroad/relay/selection.cpp
+++ b/src/ferryroad/relay/selection.cpp
@@ -513,7 +513,7 @@
 bool engine_selection::may_provide_state(const known_engine& engine, const selection_query& query,
                                          base::monotonic_time now) const {
     return engine.listed.pool == query.pool && !engine.health.suspended(now) &&
-           (m_releases == nullptr || m_releases->may_give_state(engine, now));
+           (m_releases == nullptr || m_releases->is_state_source(engine, now));
 }
 
 void engine_selection::add_home_terms(const selection_query& query, const scoped_prompt& prompt,
--- a/src/ferryroad/relay/state_follower.hpp
+++ b/src/ferryroad/relay/state_follower.hpp
@@ -484,8 +484,8 @@
     state_sharing m_sharing;
     state_follower_settings m_settings;
     std::unordered_map<base::engine_name, holder_pointer> m_holders;
-    std::vector<holder_pointer>
-        m_check_order;  ///< Holders in the order of checks, including some that were left.
+    /// Holders in the order of checks. Holders that were left are removed when their turn comes.
+    std::vector<holder_pointer> m_check_order;
     std::size_t m_next_check = 0;  ///< Index in `m_check_order`.
     /// Earliest time to poll the next holder that another router is responsible for.
     base::monotonic_time m_next_catch_up{};
--- a/test/relay/canary_traffic_test.cpp
+++ b/test/relay/canary_traffic_test.cpp
@@ -152,11 +152,11 @@
 Test(canary_traffic, promotion_leaves_the_old_version_as_a_state_source_only) {
     fixture at;
     at.begin_trial();
-    cr_assert(at.traffic.may_give_state(at.engine("e1"), start + 2s));
+    cr_assert(at.traffic.is_state_source(at.engine("e1"), start + 2s));
     at.traffic.told(at.notice(release_phase::promoted), start + 3s);
     cr_assert(at.allows("n1", false, start + 30s));
     cr_assert_not(at.allows("e1", false, start + 30s));
-    cr_assert(at.traffic.may_give_state(at.engine("e1"), start + 30s));
+    cr_assert(at.traffic.is_state_source(at.engine("e1"), start + 30s));
     const engine_load loss(at.registry, base::engine_name("e1"), 0, false);
     const engine_load safe(at.registry, base::engine_name("e2"), 0, true);
     cr_assert_eq(at.traffic.unrepeatable_at_replaced(pool), 1);
@@ -172,7 +172,7 @@
     at.traffic.confirmed(start + 4s);
     cr_assert_not(at.allows("n1", false, start + 4s));
     cr_assert_not(at.allows("n1", true, start + 4s));
-    cr_assert_not(at.traffic.may_give_state(at.engine("n1"), start + 4s));
+    cr_assert_not(at.traffic.is_state_source(at.engine("n1"), start + 4s));
     cr_assert(at.allows("e1", false, start + 4s));
     cr_assert_not(at.traffic.order_under_way(pool).has_value());
 }
