--- a/src/ferryroad/relay/crash_exchange.cpp
+++ b/src/ferryroad/relay/crash_exchange.cpp
@@ -15,53 +15,53 @@
     : m_ports(ports), m_self(std::move(self)), m_settings(settings) {}
 
 void crash_exchange::start() {
-    m_ports.quarantine.on_news({[this](const engine_crash& crash) { tell(crash); },
-                                [this](const request_identity& one) { tell_cleared(one); }});
+    m_ports.quarantine.on_news({[this](const engine_crash& crash) { publish_crash(crash); },
+                                [this](const request_identity& one) { publish_cleared(one); }});
 }
 
-// ---- Telling ----
+// ---- Publishing ----
 
-void crash_exchange::tell(const engine_crash& crash) {
+void crash_exchange::publish_crash(const engine_crash& crash) {
     if (m_stopped) {
         return;
     }
-    keep_own(crash);
-    change_row();
+    add_own(crash);
+    schedule_row_write();
     m_ports.scheduler.spawn(component, send_crash(crash));
 }
 
-void crash_exchange::tell_cleared(const request_identity& request) {
+void crash_exchange::publish_cleared(const request_identity& request) {
     if (m_stopped) {
         return;
     }
-    if (forget_own(request)) {
-        change_row();
+    if (remove_own(request)) {
+        schedule_row_write();
     }
     m_ports.scheduler.spawn(component, send_cleared(request));
 }
 
-peer::told_crash crash_exchange::told(const engine_crash& crash) const {
+peer::told_crash crash_exchange::to_message(const engine_crash& crash) const {
     const base::monotonic_time now = m_ports.scheduler.now();
     return {crash.engine, now - crash.at, now - crash.began, crash.candidates, crash.unnamed};
 }
 
 runtime::task<void> crash_exchange::send_crash(engine_crash crash) {
-    for (std::uint32_t sent = 0; sent < m_settings.sends; ++sent) {
+    for (std::uint32_t sent = 0; sent < m_settings.send_count; ++sent) {
         peer::crash_news news;
         news.sender = m_self;
-        news.crashes = {told(crash)};
+        news.crashes = {to_message(crash)};
         send_to_all(news);
-        co_await m_ports.scheduler.sleep_for((sent + 1) * m_settings.resend_after);
+        co_await m_ports.scheduler.sleep_for((sent + 1) * m_settings.resend_delay);
     }
 }
 
 runtime::task<void> crash_exchange::send_cleared(request_identity request) {
-    for (std::uint32_t sent = 0; sent < m_settings.sends; ++sent) {
+    for (std::uint32_t sent = 0; sent < m_settings.send_count; ++sent) {
         peer::crash_news news;
         news.sender = m_self;
         news.cleared = {request};
         send_to_all(news);
-        co_await m_ports.scheduler.sleep_for((sent + 1) * m_settings.resend_after);
+        co_await m_ports.scheduler.sleep_for((sent + 1) * m_settings.resend_delay);
     }
 }
 
@@ -74,7 +74,7 @@
     }
 }
 
-// ---- Learning ----
+// ---- Receiving ----
 
 void crash_exchange::take(const base::endpoint& from, std::string_view bytes) {
     const auto news = peer::decode_crash_news(bytes);
@@ -88,9 +88,9 @@
     for (const peer::told_crash& one : news->crashes) {
         const engine_crash crash{one.engine, now - one.age, now - one.began_age, one.candidates,
                                  one.unnamed};
-        for (const request_identity& known_well :
+        for (const request_identity& cleared_request :
              m_ports.quarantine.learn(crash, news->sender.value)) {
-            answer.cleared.push_back(known_well);
+            answer.cleared.push_back(cleared_request);
         }
     }
     for (const request_identity& one : news->cleared) {
@@ -102,24 +102,25 @@
     }
 }
 
-/// What this router told of is known to all: they must learn that it is cleared, too.
+/// Other routers know the crashes that this router published, so it also has to publish that one
+/// of the requests is cleared.
 void crash_exchange::learn_cleared(const request_identity& request, std::string_view from) {
     m_ports.quarantine.learn_cleared(request, from);
-    if (forget_own(request)) {
-        change_row();
+    if (remove_own(request)) {
+        schedule_row_write();
         m_ports.scheduler.spawn(component, send_cleared(request));
     }
 }
 
 void crash_exchange::take_row(std::string value) {
-    m_unread_rows.push_back(std::move(value));
+    m_pending_rows.push_back(std::move(value));
 }
 
 void crash_exchange::rows_confirmed() {
     if (!m_ports.clock.known()) {
         return;
     }
-    for (const std::string& value : std::exchange(m_unread_rows, {})) {
+    for (const std::string& value : std::exchange(m_pending_rows, {})) {
         learn_row(value);
     }
 }
@@ -128,7 +129,7 @@
     const auto news = peer::decode_crash_news(value);
     if (!news) {
         ++m_malformed;
-        runtime::log(runtime::log_level::warning, component, "row of crashes can't be read",
+        runtime::log(runtime::log_level::warning, component, "crash row ignored: cannot be decoded",
                      {{"error", news.error().message}});
         return;
     }
@@ -139,35 +140,35 @@
                                  one.candidates, one.unnamed};
         m_ports.quarantine.learn(crash, news->sender.value);
         if (news->sender == m_self) {
-            keep_own(crash);  // Of the process before this one.
+            add_own(crash);  // From the previous process of this router.
         }
     }
 }
 
-// ---- The own row ----
+// ---- This router's row ----
 
-void crash_exchange::keep_own(const engine_crash& crash) {
-    const bool known = std::any_of(m_own.begin(), m_own.end(),
+void crash_exchange::add_own(const engine_crash& crash) {
+    const bool known = std::any_of(m_own_crashes.begin(), m_own_crashes.end(),
                                    [&](const auto& one) { return is_same_crash(one, crash); });
     if (known) {
         return;
     }
-    m_own.push_back(crash);
-    if (m_own.size() > m_settings.row_crashes) {
-        m_own.pop_front();
+    m_own_crashes.push_back(crash);
+    if (m_own_crashes.size() > m_settings.max_row_crashes) {
+        m_own_crashes.pop_front();
     }
 }
 
-bool crash_exchange::forget_own(const request_identity& request) {
+bool crash_exchange::remove_own(const request_identity& request) {
     std::size_t named = 0;
-    for (engine_crash& crash : m_own) {
+    for (engine_crash& crash : m_own_crashes) {
         named += std::erase_if(crash.candidates,
                                [&](const auto& one) { return one.request == request; });
     }
     return named > 0;
 }
 
-void crash_exchange::change_row() {
+void crash_exchange::schedule_row_write() {
     m_row_changed = true;
     if (!m_writing_row) {
         m_writing_row = true;
@@ -176,10 +177,10 @@
 }
 
 runtime::task<void> crash_exchange::write_row() {
-    base::duration pause = m_settings.row_pace;
+    base::duration pause = m_settings.row_write_delay;
     while (m_row_changed && !m_stopped) {
         co_await m_ports.scheduler.sleep_for(pause);
-        pause = m_settings.row_retry;
+        pause = m_settings.row_retry_delay;
         if (!m_ports.clock.known()) {
             continue;
         }
@@ -188,8 +189,8 @@
         news.sender = m_self;
         news.owner_time =
             static_cast<std::uint64_t>(m_ports.clock.to_owner(m_ports.scheduler.now()));
-        for (const engine_crash& crash : m_own) {
-            news.crashes.push_back(told(crash));
+        for (const engine_crash& crash : m_own_crashes) {
+            news.crashes.push_back(to_message(crash));
         }
         platform::transaction change;
         change.writes.push_back(
@@ -201,7 +202,8 @@
             ++m_rows_written;
         } else {
             m_row_changed = true;
-            runtime::log(runtime::log_level::warning, component, "row of crashes not written",
+            runtime::log(runtime::log_level::warning, component,
+                         "crash row not written; will retry",
                          {{"crashes", std::to_string(news.crashes.size())}});
         }
     }
--- a/src/ferryroad/relay/crash_exchange.hpp
+++ b/src/ferryroad/relay/crash_exchange.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Carries what routers found out about engines that ended in two ways that don't fail together:
-/// datagrams to all routers at once, and a row of each router that saw one in the product's table,
-/// from which routers learn it that started later or didn't hear the sender.
+/// Distributes engine crashes between routers over two channels that fail independently:
+/// datagrams to all routers, sent at once, and one table row for each router that observed a
+/// crash, which is read by routers that start later or that the datagrams did not reach.
 #pragma once
 
 #include "ferryroad/peer/crash_message.hpp"
@@ -22,23 +22,25 @@
 
 namespace ferryroad::relay {
 
-/// Keys of the rows begin with this; a router's name follows.
+/// Prefix of the row keys; the name of the router that writes the row follows.
 inline constexpr std::string_view crash_key_prefix = "crashes/";
 
 struct crash_exchange_settings {
-    /// Datagrams are lost: each piece of news is sent so often, with longer and longer pauses.
-    std::uint32_t sends = 3;
-    base::duration resend_after = std::chrono::milliseconds(200);
-    /// Between the first news and the row's write, and between two writes: engines end in groups.
-    base::duration row_pace = std::chrono::milliseconds(100);
-    /// After a write that failed.
-    base::duration row_retry = std::chrono::milliseconds(500);
-    /// Own crashes of the row, the newest ones: some 8 KB with 24 requests each, below what makes
-    /// a change of a table a large one.
-    std::size_t row_crashes = 16;
+    /// Number of times each message is sent, as datagrams may be lost.
+    std::uint32_t send_count = 3;
+    /// Delay after the first send; the delay grows by this amount with each further send.
+    base::duration resend_delay = std::chrono::milliseconds(200);
+    /// Delay from the first change of the row to its write. As engines often crash in groups, one
+    /// write then covers several crashes.
+    base::duration row_write_delay = std::chrono::milliseconds(100);
+    /// Delay between further writes of one run, and after a write that failed.
+    base::duration row_retry_delay = std::chrono::milliseconds(500);
+    /// The row holds this number of the newest crashes that this router observed: some 8 KB with
+    /// 24 requests each, which is less than the size at which a table change counts as large.
+    std::size_t max_row_crashes = 16;
 };
 
-/// What it stands on; everything outlives it.
+/// Collaborators of `crash_exchange`; all of them must outlive it.
 struct crash_exchange_ports {
     runtime::scheduler& scheduler;
     peer::transport& transport;
@@ -47,50 +49,57 @@
     const owner_clock& clock;
 };
 
-/// Used from the event loop's thread; kept until the loop has ended.
+/// Publishes the crashes and cleared requests that this router's quarantine reports, and feeds
+/// those of other routers to it. Not thread-safe: to be used from the event loop's thread. Must
+/// live until the loop has ended.
 class crash_exchange {
   public:
     crash_exchange(crash_exchange_ports ports, base::router_name self,
                    crash_exchange_settings settings = {});
 
-    /// Called once, before any traffic.
+    /// Registers with the quarantine. To be called once, before any traffic.
     void start();
+    /// Starts no further publications and row writes.
     void stop() { m_stopped = true; }
 
-    /// Takes the routers that are present.
+    /// Sets the routers to send to. This router may be among them; it is skipped.
     void set_routers(const std::vector<peer_address>& present) { m_routers = present; }
-    /// Takes a datagram that is news of crashes, or says so.
+    /// Handles a datagram whose header says that it is crash news; counts it where it is malformed.
     void take(const base::endpoint& from, std::string_view bytes);
-    /// Keeps a row until the owner's clock is known by a confirmation that follows it.
+    /// Stores the value of a row until `rows_confirmed` is called while the clock of the table's
+    /// owner is known.
     void take_row(std::string value);
+    /// Applies the stored rows, unless the clock of the table's owner is still unknown.
     void rows_confirmed();
 
+    /// @return the number of datagrams and rows that could not be decoded.
     std::uint64_t malformed() const { return m_malformed; }
     std::uint64_t rows_written() const { return m_rows_written; }
 
   private:
     static constexpr std::string_view component = "relay.crashes";
 
-    void tell(const core::quarantine::engine_crash& crash);
-    void tell_cleared(const core::quarantine::request_identity& request);
+    void publish_crash(const core::quarantine::engine_crash& crash);
+    void publish_cleared(const core::quarantine::request_identity& request);
     void learn_cleared(const core::quarantine::request_identity& request, std::string_view from);
     void learn_row(const std::string& value);
-    /// @return whether an own crash named the request until now.
-    bool forget_own(const core::quarantine::request_identity& request);
-    void keep_own(const core::quarantine::engine_crash& crash);
-    peer::told_crash told(const core::quarantine::engine_crash& crash) const;
+    /// Removes the request from the crashes that this router observed.
+    /// @return whether any of them named it.
+    bool remove_own(const core::quarantine::request_identity& request);
+    void add_own(const core::quarantine::engine_crash& crash);
+    peer::told_crash to_message(const core::quarantine::engine_crash& crash) const;
     runtime::task<void> send_crash(core::quarantine::engine_crash crash);
     runtime::task<void> send_cleared(core::quarantine::request_identity request);
     void send_to_all(const peer::crash_news& news);
-    void change_row();
+    void schedule_row_write();
     runtime::task<void> write_row();
 
     crash_exchange_ports m_ports;
     base::router_name m_self;
     crash_exchange_settings m_settings;
     std::vector<peer_address> m_routers;
-    std::deque<core::quarantine::engine_crash> m_own;  ///< Those of the row.
-    std::vector<std::string> m_unread_rows;
+    std::deque<core::quarantine::engine_crash> m_own_crashes;  ///< Contents of this router's row.
+    std::vector<std::string> m_pending_rows;
     bool m_row_changed = false;
     bool m_writing_row = false;
     std::uint64_t m_malformed = 0;
--- a/src/ferryroad/relay/gathered_reports.cpp
+++ b/src/ferryroad/relay/gathered_reports.cpp
@@ -9,28 +9,29 @@
 using core::canary::compared_counts;
 using core::canary::outcome_counts;
 
-/// Adds to `sum` by how much `now` is more than `before`, which it takes the place of.
-void replace(outcome_counts& sum, outcome_counts& before, const outcome_counts& now) {
-    if (now.answered <= before.answered) {
+/// Adds the increase from `before` to `latest` to `sum`, then sets `before` to `latest`. Does
+/// nothing where `latest` counts no more answers than `before`.
+void add_increase(outcome_counts& sum, outcome_counts& before, const outcome_counts& latest) {
+    if (latest.answered <= before.answered) {
         return;
     }
-    sum.answered += now.answered - before.answered;
-    sum.failed += now.failed - before.failed;
+    sum.answered += latest.answered - before.answered;
+    sum.failed += latest.failed - before.failed;
     for (std::size_t index = 0; index < sum.durations.size(); ++index) {
-        sum.durations[index] += now.durations[index] - before.durations[index];
+        sum.durations[index] += latest.durations[index] - before.durations[index];
     }
-    before = now;
+    before = latest;
 }
 
 }  // namespace
 
 void gathered_reports::take(const peer::release_report& report) {
-    auto& told = m_told[{report.sender, report.sender_incarnation}];
+    auto& reported = m_last_reported[{report.sender, report.sender_incarnation}];
     for (const auto& [route, counted] : report.counts) {
-        compared_counts& before = told[route];
+        compared_counts& before = reported[route];
         compared_counts& sum = m_sum[route];
-        replace(sum.current, before.current, counted.current);
-        replace(sum.canary, before.canary, counted.canary);
+        add_increase(sum.current, before.current, counted.current);
+        add_increase(sum.canary, before.canary, counted.canary);
     }
 }
 
--- a/src/ferryroad/relay/gathered_reports.hpp
+++ b/src/ferryroad/relay/gathered_reports.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The counts that a release's coordinator has got from routers.
+/// Sums the request counts that a release's coordinator receives from routers.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -11,19 +11,20 @@
 
 namespace ferryroad::relay {
 
-/// Of one order. Counts of routers that are gone, and of processes that began anew, stay in the
-/// sum. Not thread-safe.
+/// Totals for one release order. Counts of routers that are gone and of earlier processes of a
+/// restarted router stay in the sum. Not thread-safe.
 class gathered_reports {
   public:
-    /// Takes a report; one that was overtaken by a later one of its process changes nothing.
+    /// Adds a report. Counts of a process are cumulative; a report that arrives after a later one
+    /// of the same process changes nothing.
     void take(const peer::release_report& report);
-    /// @return over all routers.
+    /// @return the counts of all routers.
     const core::canary::counts_by_route& sum() const { return m_sum; }
 
   private:
     using process = std::pair<base::router_name, base::incarnation>;
 
-    std::map<process, core::canary::counts_by_route> m_told;
+    std::map<process, core::canary::counts_by_route> m_last_reported;
     core::canary::counts_by_route m_sum;
 };
 
--- a/test/relay/crash_exchange_test.cpp
+++ b/test/relay/crash_exchange_test.cpp
@@ -1,5 +1,5 @@
-/// What one router finds out about a request that ends engines, all know: told at once, read from
-/// a row by those that were not reached, and taken back where an engine lived through it.
+/// Crashes observed by one router are known to all routers: by datagram at once, or from its table
+/// row where datagrams don't arrive. Requests are cleared everywhere once an engine completed them.
 #include "ferryroad/relay/crash_exchange.hpp"
 
 #include "test/http/loopback.hpp"
@@ -21,8 +21,8 @@
 
 namespace {
 
-/// The product's table, without conditions; down or not.
-class kept_rows final : public platform::table {
+/// Table in memory that ignores conditions and can be made unavailable.
+class fake_table final : public platform::table {
   public:
     runtime::task<platform::result<std::vector<platform::transaction_outcome>>> transact(
         std::vector<platform::transaction> transactions) override {
@@ -73,7 +73,7 @@
         });
         exchange.start();
     }
-    void read_rows(const kept_rows& table) {
+    void read_rows(const fake_table& table) {
         for (const auto& [key, value] : table.rows) {
             exchange.take_row(value);
         }
@@ -91,8 +91,8 @@
 struct fixture {
     ferryroad::test::loopback loop;
     fake_network network;
-    kept_rows table;
-    std::set<base::endpoint> ended;  ///< Nothing listens there.
+    fake_table table;
+    std::set<base::endpoint> ended;  ///< Addresses that refuse connections.
     std::vector<std::unique_ptr<router>> routers;
 
     explicit fixture(std::uint16_t size) {
@@ -139,7 +139,7 @@
     }
 }
 
-Test(crash_exchange, an_engine_that_lives_on_ends_under_nothing) {
+Test(crash_exchange, broken_exchanges_of_a_running_engine_are_not_crashes) {
     fixture all(2);
     for (std::uint16_t number = 1; number < 8; ++number) {
         all.routers[0]->quarantine.exchange_broke(listed(number), bad, {});
@@ -147,11 +147,11 @@
     all.run_for(250ms);
     cr_assert_null(all.routers[0]->quarantine.find(bad));
     cr_assert_eq(all.routers[0]->quarantine.counters().breaks_unconfirmed, 7);
-    cr_assert_eq(all.table.calls, 0, "nothing is written while nothing ends");
+    cr_assert_eq(all.table.calls, 0, "no row may be written without a crash");
     cr_assert_eq(all.network.sent, 0);
 }
 
-Test(crash_exchange, an_engine_that_is_back_already_is_known_by_its_new_process) {
+Test(crash_exchange, a_restarted_engine_counts_as_crashed) {
     fixture all(2);
     for (std::uint16_t number = 1; number <= 2; ++number) {
         all.routers[0]->quarantine.exchange_broke(listed(number), bad, {});
@@ -162,9 +162,9 @@
     cr_assert_not_null(all.routers[1]->quarantine.find(bad));
 }
 
-Test(crash_exchange, who_starts_later_or_hears_nobody_reads_the_rows) {
+Test(crash_exchange, routers_that_start_later_or_get_no_datagrams_read_the_rows) {
     fixture all(2);
-    all.network.handlers.clear();  // Routers don't reach each other.
+    all.network.handlers.clear();  // No datagram arrives.
     all.ended = {listed(1).address, listed(2).address};
     all.routers[0]->quarantine.exchange_broke(listed(1), bad, {});
     all.routers[1]->quarantine.exchange_broke(listed(2), bad, {});
@@ -179,7 +179,7 @@
     cr_assert_not_null(late.quarantine.find(bad));
 }
 
-Test(crash_exchange, a_router_that_starts_again_keeps_what_its_row_says) {
+Test(crash_exchange, a_restarted_router_keeps_the_crashes_of_its_row) {
     fixture all(1);
     all.ended = {listed(1).address, listed(2).address, listed(3).address};
     all.routers[0]->quarantine.exchange_broke(listed(1), bad, {});
@@ -198,10 +198,10 @@
     router& third = next.add(2);
     third.read_rows(next.table);
     next.run_for(30ms);
-    cr_assert_not_null(third.quarantine.find(bad), "it is in the row that was written anew, too");
+    cr_assert_not_null(third.quarantine.find(bad), "the rewritten row must still name the request");
 }
 
-Test(crash_exchange, a_row_is_written_once_the_table_is_back) {
+Test(crash_exchange, a_failed_row_write_is_retried_until_it_succeeds) {
     fixture all(1);
     all.table.down = true;
     all.ended = {listed(1).address};
@@ -213,10 +213,10 @@
     cr_assert_eq(all.table.rows.size(), 1);
     const int calls = all.table.calls;
     all.run_for(60ms);
-    cr_assert_eq(all.table.calls, calls, "once");
+    cr_assert_eq(all.table.calls, calls, "the row must be written only once");
 }
 
-Test(crash_exchange, a_good_end_anywhere_frees_the_request_everywhere) {
+Test(crash_exchange, a_request_completed_at_one_router_is_released_at_all) {
     fixture all(3);
     all.ended = {listed(1).address, listed(2).address};
     all.routers[0]->quarantine.exchange_broke(listed(1), bad, {});
@@ -231,10 +231,10 @@
     router& late = all.add(4);
     late.read_rows(all.table);
     all.run_for(200ms);
-    cr_assert_null(late.quarantine.find(bad), "rows no longer name it");
+    cr_assert_null(late.quarantine.find(bad), "rows must no longer name the request");
 }
 
-Test(crash_exchange, who_knows_better_answers_the_teller) {
+Test(crash_exchange, a_router_that_completed_the_request_corrects_the_sender) {
     fixture all(3);
     all.ended = {listed(1).address, listed(2).address, listed(3).address};
     all.routers[2]->quarantine.ended_well(bad);
@@ -246,7 +246,7 @@
     cr_assert_null(all.routers[1]->quarantine.find(bad));
 }
 
-Test(crash_exchange, rows_and_datagrams_that_make_no_sense_are_counted) {
+Test(crash_exchange, malformed_rows_and_datagrams_are_counted) {
     fixture all(1);
     all.routers[0]->exchange.take({"10.0.0.9", 9}, "FRCN or not");
     all.routers[0]->exchange.take_row("none");
--- a/test/relay/fake_network.hpp
+++ b/test/relay/fake_network.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Scaffolding: datagrams between the routers of a test, carried at once.
+/// Test double: a network that delivers datagrams between the routers of a test synchronously.
 #pragma once
 
 #include "ferryroad/peer/transport.hpp"
@@ -10,7 +10,7 @@
 
 namespace ferryroad::relay::test {
 
-/// Carries datagrams between the routers of a test, those to lost addresses excepted.
+/// Handlers by address; datagrams to an address without a handler are lost.
 struct fake_network {
     std::map<base::endpoint, peer::transport::datagram_handler> handlers;
     std::size_t sent = 0;
--- a/test/relay/gathered_reports_test.cpp
+++ b/test/relay/gathered_reports_test.cpp
@@ -1,4 +1,4 @@
-/// Counts of all processes add up, whatever is lost, doubled, late or begun anew.
+/// Sums stay right where reports are lost, duplicated or reordered, and where routers restart.
 #include "ferryroad/relay/gathered_reports.hpp"
 
 #include <criterion/criterion.h>
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-Test(gathered_reports, doubled_and_late_ones_change_nothing) {
+Test(gathered_reports, duplicated_and_reordered_reports_are_ignored) {
     gathered_reports gathered;
     gathered.take(report("a", 1, 6));
     gathered.take(report("a", 1, 8));
@@ -36,7 +36,7 @@
     cr_assert_eq(sum.current.answered, 80);
 }
 
-Test(gathered_reports, routers_processes_and_routes_add_up) {
+Test(gathered_reports, counts_of_routers_processes_and_routes_add_up) {
     gathered_reports gathered;
     gathered.take(report("a", 1, 8));
     gathered.take(report("a", 2, 2));
