--- a/src/ferryroad/relay/peer_exchange.cpp
+++ b/src/ferryroad/relay/peer_exchange.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-peer_group_tunables group_of(const exchange_settings& settings) {
+peer_group_tunables group_tunables_of(const exchange_settings& settings) {
     peer_group_tunables tunables;
     tunables.zones = settings.zones;
     return tunables;
@@ -18,12 +18,12 @@
 }  // namespace
 
 peer_exchange::peer_exchange(exchange_ports ports, const peer_address& self,
-                             std::function<void(const peer::holder_changes&)> learned,
+                             std::function<void(const peer::holder_changes&)> on_changes,
                              exchange_settings settings)
     : m_ports(ports),
       m_self(self),
-      m_group(self, group_of(settings)),
-      m_learned(std::move(learned)),
+      m_group(self, group_tunables_of(settings)),
+      m_on_changes(std::move(on_changes)),
       m_settings(std::move(settings)) {}
 
 void peer_exchange::start() {
@@ -34,9 +34,9 @@
 runtime::task<void> peer_exchange::run() {
     while (m_running) {
         const auto routers = static_cast<base::duration::rep>(block_size());
-        const base::duration least = routers * m_settings.pace_per_router;
-        co_await m_ports.scheduler.sleep_for(std::max(m_settings.pace, least));
-        send_news();
+        const base::duration least = routers * m_settings.notice_interval_per_router;
+        co_await m_ports.scheduler.sleep_for(std::max(m_settings.notice_interval, least));
+        send_pending();
     }
 }
 
@@ -47,23 +47,23 @@
         return;
     }
     if (!parts.empty()) {
-        m_expected.push_back({engine, parts});
-        note_expected(engine);
+        m_pending_expected.push_back({engine, parts});
+        notify_expected(engine);
     }
-    if (prefill_tokens >= m_settings.urgent_tokens) {
+    if (prefill_tokens >= m_settings.urgent_prefill_tokens) {
         send_load(m_ports.scheduler.now());
     }
 }
 
-void peer_exchange::note_expected(const base::engine_name& engine) const {
-    if (m_expected_told) {
-        m_expected_told(engine);
+void peer_exchange::notify_expected(const base::engine_name& engine) const {
+    if (m_on_expected) {
+        m_on_expected(engine);
     }
 }
 
 void peer_exchange::saw_weights(peer::seen_weights seen) {
-    if (m_running && !m_taking) {
-        m_weights.push_back(std::move(seen));
+    if (m_running && !m_applying_notice) {
+        m_pending_weights.push_back(std::move(seen));
     }
 }
 
@@ -71,9 +71,9 @@
     if (!m_running) {
         return;
     }
-    const auto targets = m_group.everyone(m_ports.scheduler.now());
-    peer::traffic_notice notice = blank();
-    const auto send_full = [&](std::size_t least) {
+    const auto targets = m_group.all_peers(m_ports.scheduler.now());
+    peer::traffic_notice notice = new_notice();
+    const auto send_if_full = [&](std::size_t least) {
         if (notice.loading.size() + notice.weights.size() >= least) {
             send_to(targets, notice);
             notice.loading.clear();
@@ -82,62 +82,65 @@
     };
     for (const peer::loading_weights& one : news.loading) {
         notice.loading.push_back(one);
-        send_full(m_settings.weights);
+        send_if_full(m_settings.max_weights);
     }
     for (const peer::seen_weights& one : news.loaded) {
         notice.weights.push_back(one);
-        send_full(m_settings.weights);
+        send_if_full(m_settings.max_weights);
     }
-    send_full(1);
+    send_if_full(1);
 }
 
 void peer_exchange::tell(peer::holder_changes changes) {
     if (m_running) {
-        m_changes.push_back(std::move(changes));
+        m_pending_changes.push_back(std::move(changes));
     }
 }
 
-void peer_exchange::send_news() {
+void peer_exchange::send_pending() {
     const base::monotonic_time now = m_ports.scheduler.now();
-    const bool load_changed = own_loads(now) != m_stated;
-    const bool silent = now - m_stated_at >= m_settings.heartbeat;
-    if (load_changed || silent || !m_expected.empty() || !m_weights.empty()) {
+    const bool load_changed = own_loads(now) != m_sent_loads;
+    const bool heartbeat_due = now - m_loads_sent_at >= m_settings.heartbeat_interval;
+    if (load_changed || heartbeat_due || !m_pending_expected.empty() ||
+        !m_pending_weights.empty()) {
         send_load(now);
     }
-    if (silent) {
-        note_live_peers(now);
-        tell_gone(now);
+    if (heartbeat_due) {
+        log_liveness_changes(now);
+        report_gone_peers(now);
     }
     send_changes(now);
 }
 
-void peer_exchange::tell_gone(base::monotonic_time now) {
-    if (!m_gone_told || now - m_gone_told_at < m_settings.gone_pace) {
+void peer_exchange::report_gone_peers(base::monotonic_time now) {
+    if (!m_on_gone || now - m_gone_reported_at < m_settings.gone_report_interval) {
         return;
     }
-    m_gone_told_at = now;
+    m_gone_reported_at = now;
     for (const base::router_name& name : m_group.gone(now)) {
-        m_gone_told(name);
+        m_on_gone(name);
     }
 }
 
-void peer_exchange::note_live_peers(base::monotonic_time now) {
+void peer_exchange::log_liveness_changes(base::monotonic_time now) {
     std::set<base::router_name> live = m_group.live(now);
     for (const base::router_name& name : live) {
-        if (!m_live.contains(name)) {
-            runtime::log(runtime::log_level::info, component, "peer heard", {{"peer", name.value}});
+        if (!m_logged_live.contains(name)) {
+            runtime::log(runtime::log_level::info, component, "peer is alive",
+                         {{"peer", name.value}});
         }
     }
-    for (const base::router_name& name : m_live) {
+    for (const base::router_name& name : m_logged_live) {
         if (!live.contains(name)) {
-            runtime::log(runtime::log_level::warning, component, "peer silent",
+            runtime::log(runtime::log_level::warning, component,
+                         "no recent notice from peer; treating it as not alive",
                          {{"peer", name.value}});
         }
     }
-    m_live = std::move(live);
+    m_logged_live = std::move(live);
 }
 
-peer::traffic_notice peer_exchange::blank() const {
+peer::traffic_notice peer_exchange::new_notice() const {
     peer::traffic_notice notice;
     notice.sender = m_self.name;
     notice.zone = m_self.zone;
@@ -151,30 +154,30 @@
         loads.push_back(
             {engine->listed.name, engine->running, engine->pending_prefill_tokens, refuses});
     }
-    if (loads.size() > m_settings.loads) {
+    if (loads.size() > m_settings.max_loads) {
         std::partial_sort(loads.begin(),
-                          loads.begin() + static_cast<std::ptrdiff_t>(m_settings.loads),
+                          loads.begin() + static_cast<std::ptrdiff_t>(m_settings.max_loads),
                           loads.end(), [](const auto& a, const auto& b) {
                               return std::pair(a.prefill_tokens, a.running) >
                                      std::pair(b.prefill_tokens, b.running);
                           });
-        loads.resize(m_settings.loads);
+        loads.resize(m_settings.max_loads);
     }
     return loads;
 }
 
 void peer_exchange::send_load(base::monotonic_time now) {
-    peer::traffic_notice notice = blank();
+    peer::traffic_notice notice = new_notice();
     notice.loads_complete = true;
     notice.loads = own_loads(now);
-    m_stated = notice.loads;
-    m_stated_at = now;
-    notice.weights = std::exchange(m_weights, {});
+    m_sent_loads = notice.loads;
+    m_loads_sent_at = now;
+    notice.weights = std::exchange(m_pending_weights, {});
     std::size_t parts = 0;
-    for (peer::expected_state& one : std::exchange(m_expected, {})) {
+    for (peer::expected_state& one : std::exchange(m_pending_expected, {})) {
         parts += one.parts.size();
-        if (parts > m_settings.parts) {
-            break;  // The holders' own events tell of these, a little later.
+        if (parts > m_settings.max_parts) {
+            break;  // The events of the holders report the rest, a little later.
         }
         notice.expected.push_back(std::move(one));
     }
@@ -182,12 +185,12 @@
 }
 
 void peer_exchange::send_changes(base::monotonic_time now) {
-    peer::traffic_notice notice = blank();
+    peer::traffic_notice notice = new_notice();
     std::size_t parts = 0;
-    for (peer::holder_changes& one : std::exchange(m_changes, {})) {
-        // A holder's name and numbers take the place of some parts.
+    for (peer::holder_changes& one : std::exchange(m_pending_changes, {})) {
+        // The holder's name and numbers take up as much space as 6 parts.
         const std::size_t size = one.parts.size() + 6;
-        if (parts > 0 && parts + size > m_settings.parts) {
+        if (parts > 0 && parts + size > m_settings.max_parts) {
             send(notice, now);
             notice.changes.clear();
             parts = 0;
@@ -224,20 +227,20 @@
     if (notice->loads_complete) {
         m_ports.loads.state(notice->sender, notice->loads, now);
     }
-    m_taking = true;
+    m_applying_notice = true;
     for (const peer::seen_weights& seen : notice->weights) {
         m_ports.registry.saw_version(seen.engine, seen.model, seen.version);
     }
-    m_taking = false;
+    m_applying_notice = false;
     for (const peer::loading_weights& one : notice->loading) {
         m_ports.registry.expect_weights(one.engine, one.model, one.version, now + one.ready_in);
     }
     for (const peer::expected_state& one : notice->expected) {
         m_ports.warm.expect(one.parts, one.engine, now);
-        note_expected(one.engine);
+        notify_expected(one.engine);
     }
     for (const peer::holder_changes& one : notice->changes) {
-        m_learned(one);
+        m_on_changes(one);
     }
 }
 
--- a/src/ferryroad/relay/peer_exchange.hpp
+++ b/src/ferryroad/relay/peer_exchange.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Exchanges traffic notices with the other routers of the block: the load that each puts on
-/// engines, prompts that engines were just asked to read, versions of weights seen, and what
-/// holders told of the state that they keep.
+/// Exchanges traffic notices with the other routers of this router's block: the load that each
+/// router puts on engines, prompts that were just dispatched to engines, versions of weights that
+/// engines reported, and changes of the prefix state that holders (engines that keep it) report.
 #pragma once
 
 #include "ferryroad/core/placement/engine_load_view.hpp"
@@ -22,26 +22,29 @@
 namespace ferryroad::relay {
 
 struct exchange_settings {
-    core::topology::zone_map zones;  ///< With their regions.
-    /// Between two notices, unless one is urgent.
-    base::duration pace = std::chrono::milliseconds(50);
-    /// The same at least for each router of the block: a notice goes to all of them, so that the
-    /// datagrams that a router sends and gets do not grow with the block.
-    base::duration pace_per_router = std::chrono::milliseconds(6);
-    /// A router with nothing new says so this often: it is alive.
-    base::duration heartbeat = std::chrono::milliseconds(500);
-    /// Between two looks for routers that are gone.
-    base::duration gone_pace = std::chrono::seconds(3);
-    /// A prompt of which this much must be read is told of at once.
-    std::uint64_t urgent_tokens = 1000;
-    /// Weights of a notice that tells nothing else.
-    std::size_t weights = 16;
-    /// Of a notice, so that it fits into a datagram; the rest goes into the next one.
-    std::size_t loads = 24;
-    std::size_t parts = 64;
+    core::topology::zone_map zones;  ///< Zones and the regions they belong to.
+    /// Least interval between notices, unless one is urgent.
+    base::duration notice_interval = std::chrono::milliseconds(50);
+    /// The interval is at least this long for each router of the block. Each notice goes to all of
+    /// them, so the number of datagrams that a router sends and receives per second is bounded
+    /// whatever the size of the block.
+    base::duration notice_interval_per_router = std::chrono::milliseconds(6);
+    /// A router with nothing new sends a notice this often, so that its peers know it is alive.
+    base::duration heartbeat_interval = std::chrono::milliseconds(500);
+    /// Interval between two reports of routers that are gone.
+    base::duration gone_report_interval = std::chrono::seconds(3);
+    /// A prompt with at least this many tokens to prefill is announced without delay.
+    std::uint64_t urgent_prefill_tokens = 1000;
+    /// Most entries, loading and loaded weights together, in a notice of `announce`.
+    std::size_t max_weights = 16;
+    /// Most loads in a notice, so that it fits into a datagram; the largest loads are sent.
+    std::size_t max_loads = 24;
+    /// Most prompt parts in a notice, so that it fits into a datagram. Further changes of holders
+    /// go into another notice.
+    std::size_t max_parts = 64;
 };
 
-/// What the router that brings engines to new weights knows of them before others.
+/// What the router that runs a weights rollout knows about engines before other routers do.
 struct rollout_news {
     std::vector<peer::loading_weights> loading;
     std::vector<peer::seen_weights> loaded;
@@ -50,7 +53,7 @@
     friend bool operator==(const rollout_news&, const rollout_news&) = default;
 };
 
-/// What it stands on; everything outlives it.
+/// Collaborators of `peer_exchange`; all of them must outlive it.
 struct exchange_ports {
     runtime::scheduler& scheduler;
     peer::transport& transport;
@@ -59,55 +62,56 @@
     core::placement::engine_load_view& loads;
 };
 
-/// Used from the event loop's thread; kept until the loop has ended.
+/// Not thread-safe: to be used from the event loop's thread. Must live until the loop has ended.
 class peer_exchange {
   public:
-    /// @param learned told of changes at holders that peers follow.
+    /// @param on_changes called with the changes of holders that other routers follow.
     peer_exchange(exchange_ports ports, const peer_address& self,
-                  std::function<void(const peer::holder_changes&)> learned,
+                  std::function<void(const peer::holder_changes&)> on_changes,
                   exchange_settings settings = {});
 
-    /// @param told of each engine that this router or a peer sent a prompt to.
-    void on_expected(std::function<void(const base::engine_name&)> told) {
-        m_expected_told = std::move(told);
+    /// @param callback called with each engine that this router or a peer sent a prompt to.
+    void on_expected(std::function<void(const base::engine_name&)> callback) {
+        m_on_expected = std::move(callback);
     }
 
-    /// Called once, before any traffic.
+    /// To be called once, before any traffic.
     void start();
+    /// Sends no further notices.
     void stop() { m_running = false; }
 
-    /// Takes a datagram that is a notice, or says so.
+    /// Handles a datagram whose header says that it is a notice; counts it where it is malformed.
     void take(const base::endpoint& from, std::string_view bytes);
 
-    /// Takes the routers that are present.
+    /// Sets the complete list of routers that are present.
     void set_routers(const std::vector<peer_address>& present) {
         m_group.declare(present, m_ports.scheduler.now());
     }
-    /// @param told of each router that is present by the list, and hasn't been heard for long; once
-    /// in `gone_pace` while it stays so.
-    void on_gone(std::function<void(const base::router_name&)> told) {
-        m_gone_told = std::move(told);
+    /// @param callback called with each router that the list names although it has long been
+    /// silent, every `gone_report_interval` while that lasts.
+    void on_gone(std::function<void(const base::router_name&)> callback) {
+        m_on_gone = std::move(callback);
     }
-    /// An engine was asked to read a prompt; called once its load is counted.
-    /// @param prefill_tokens expected to be read anew.
+    /// Records that a prompt was dispatched to an engine. To be called after its load is counted.
+    /// @param prefill_tokens tokens that the engine is expected to prefill.
     void dispatched(const base::engine_name& engine,
                     const std::vector<core::prefix::scoped_part>& parts,
                     std::uint64_t prefill_tokens);
-    /// An engine showed new weights.
-    void saw_weights(peer::seen_weights seen);
-    /// What this router brings engines to is told to all routers at once, of whatever block: a
-    /// request that goes to an engine which loads is refused there.
+    /// Records that an engine reported newer weights, for the next notice.
+    void saw_weights(peer::seen_weights weights);
+    /// Sends the rollout's news to the routers of all blocks without delay, because an engine
+    /// refuses requests while it loads weights.
     void announce(const rollout_news& news);
-    /// A holder that this router follows told of changes.
+    /// Queues changes of a holder that this router follows for the next notice.
     void tell(peer::holder_changes changes);
 
-    /// @return whether this router follows the holder for the others.
+    /// @return whether this router follows the holder on behalf of its block.
     bool follows(const base::engine_name& holder, const base::zone_name& zone) const {
         return m_group.follows(holder, zone, m_ports.scheduler.now());
     }
-    /// @return routers of this one's block, itself included: those whose load is known here.
+    /// @return the number of routers in this router's block, itself included. Their load is known.
     std::size_t block_size() const { return m_group.block_size(m_ports.scheduler.now()); }
-    /// @return peers heard a moment ago.
+    /// @return the number of peers that sent a notice recently.
     std::size_t live_peers() const { return m_group.live(m_ports.scheduler.now()).size(); }
     std::uint64_t notices_sent() const { return m_notices_sent; }
     std::uint64_t notices_malformed() const { return m_notices_malformed; }
@@ -116,35 +120,36 @@
     static constexpr std::string_view component = "relay.peers";
 
     runtime::task<void> run();
-    void note_expected(const base::engine_name& engine) const;
-    void send_news();
-    void note_live_peers(base::monotonic_time now);
-    void tell_gone(base::monotonic_time now);
+    void notify_expected(const base::engine_name& engine) const;
+    void send_pending();
+    void log_liveness_changes(base::monotonic_time now);
+    void report_gone_peers(base::monotonic_time now);
     void send_load(base::monotonic_time now);
     void send_changes(base::monotonic_time now);
     void send(const peer::traffic_notice& notice, base::monotonic_time now);
     void send_to(const std::vector<base::endpoint>& targets, const peer::traffic_notice& notice);
-    peer::traffic_notice blank() const;
+    peer::traffic_notice new_notice() const;
     std::vector<core::placement::stated_load> own_loads(base::monotonic_time now) const;
 
     exchange_ports m_ports;
     peer_address m_self;
     peer_group m_group;
-    std::function<void(const peer::holder_changes&)> m_learned;
-    std::function<void(const base::engine_name&)> m_expected_told;
-    std::function<void(const base::router_name&)> m_gone_told;
-    base::monotonic_time m_gone_told_at{};
+    std::function<void(const peer::holder_changes&)> m_on_changes;
+    std::function<void(const base::engine_name&)> m_on_expected;
+    std::function<void(const base::router_name&)> m_on_gone;
+    base::monotonic_time m_gone_reported_at{};
     exchange_settings m_settings;
-    std::vector<core::placement::stated_load> m_stated;  ///< What peers were told last.
-    base::monotonic_time m_stated_at{};
-    std::vector<peer::seen_weights> m_weights;
-    std::vector<peer::expected_state> m_expected;
-    std::vector<peer::holder_changes> m_changes;
-    std::set<base::router_name> m_live;  ///< As last noted in the log.
+    std::vector<core::placement::stated_load> m_sent_loads;  ///< As last sent to peers.
+    base::monotonic_time m_loads_sent_at{};
+    std::vector<peer::seen_weights> m_pending_weights;
+    std::vector<peer::expected_state> m_pending_expected;
+    std::vector<peer::holder_changes> m_pending_changes;
+    std::set<base::router_name> m_logged_live;  ///< As last written to the log.
     std::uint64_t m_notices_sent = 0;
     std::uint64_t m_notices_malformed = 0;
-    bool m_taking = false;   ///< What is seen now was told by a peer.
-    bool m_running = false;  ///< What is told before or after is dropped.
+    /// Set while a peer's notice is applied: weights seen meanwhile are not passed on.
+    bool m_applying_notice = false;
+    bool m_running = false;  ///< Input is dropped while this is false.
 };
 
 }  // namespace ferryroad::relay
--- a/src/ferryroad/relay/peer_group.cpp
+++ b/src/ferryroad/relay/peer_group.cpp
@@ -25,7 +25,7 @@
         return std::nullopt;
     }
     peer.address = *address;
-    words >> peer.link.value;  // Zero where there is none.
+    words >> peer.link.value;  // Zero where the note has no link.
     return peer;
 }
 
@@ -68,18 +68,18 @@
 }
 
 bool peer_group::is_live(const known_peer& one, base::monotonic_time now) const {
-    return one.heard_at && now - *one.heard_at < m_tunables.live_for;
+    return one.heard_at && now - *one.heard_at < m_tunables.live_timeout;
 }
 
 bool peer_group::is_known(const known_peer& one, base::monotonic_time now) const {
-    return one.declared || (one.heard_at && now - *one.heard_at < m_tunables.known_for);
+    return one.declared || (one.heard_at && now - *one.heard_at < m_tunables.forget_after);
 }
 
 base::monotonic_time peer_group::next_expiry(base::monotonic_time now) const {
     base::monotonic_time first = base::monotonic_time::max();
     for (const auto& [name, one] : m_peers) {
         if (!one.declared && is_known(one, now)) {
-            first = std::min(first, *one.heard_at + m_tunables.known_for);
+            first = std::min(first, *one.heard_at + m_tunables.forget_after);
         }
     }
     return first;
@@ -87,17 +87,18 @@
 
 const std::vector<const peer_group::known_peer*>& peer_group::block(
     base::monotonic_time now) const {
-    if (!m_block || now >= m_block_until) {
-        m_block = make_block(now);
-        m_nearer.clear();
-        m_block_until = next_expiry(now);
+    if (!m_block || now >= m_block_expiry) {
+        m_block = compute_block(now);
+        m_nearer_peers.clear();
+        m_block_expiry = next_expiry(now);
     }
     return *m_block;
 }
 
-/// All routers sort all names of a zone alike, so that they agree on the blocks while they agree
-/// on who is present.
-std::vector<const peer_group::known_peer*> peer_group::make_block(base::monotonic_time now) const {
+/// All routers sort the names of a zone in the same way, so they agree on the blocks as long as
+/// they agree on the routers that are present.
+std::vector<const peer_group::known_peer*> peer_group::compute_block(
+    base::monotonic_time now) const {
     std::vector<const known_peer*> others;
     std::size_t all = 1;
     for (const auto& [name, one] : m_peers) {
@@ -106,7 +107,7 @@
             others.push_back(&one);
         }
     }
-    if (all <= m_tunables.whole) {
+    if (all <= m_tunables.max_undivided) {
         return others;
     }
     std::erase_if(others, [&](const known_peer* one) { return one->peer.zone != m_self.zone; });
@@ -114,14 +115,15 @@
         return a->peer.name < b->peer.name;
     });
     const std::size_t zone_size = others.size() + 1;
-    const std::size_t blocks = (zone_size + m_tunables.block - 1) / m_tunables.block;
+    const std::size_t blocks =
+        (zone_size + m_tunables.max_block_size - 1) / m_tunables.max_block_size;
     const std::size_t size = (zone_size + blocks - 1) / blocks;
     const auto before = static_cast<std::size_t>(
         std::count_if(others.begin(), others.end(),
                       [&](const known_peer* one) { return one->peer.name < m_self.name; }));
     std::vector<const known_peer*> chosen;
     for (std::size_t index = 0; index < others.size(); ++index) {
-        // This router stands between the others: those after it are one place further.
+        // `others` lacks this router, so the routers sorted after it are one place further.
         const std::size_t place = index < before ? index : index + 1;
         if (place / size == before / size) {
             chosen.push_back(others[index]);
@@ -138,7 +140,7 @@
     return addresses;
 }
 
-std::vector<base::endpoint> peer_group::everyone(base::monotonic_time now) const {
+std::vector<base::endpoint> peer_group::all_peers(base::monotonic_time now) const {
     std::vector<base::endpoint> addresses;
     for (const auto& [name, one] : m_peers) {
         if (is_known(one, now)) {
@@ -151,8 +153,8 @@
 bool peer_group::follows(const base::engine_name& holder, const base::zone_name& zone,
                          base::monotonic_time now) const {
     const auto& others = block(now);
-    const auto known = m_nearer.find(holder);
-    if (known != m_nearer.end() && is_live(*known->second, now)) {
+    const auto known = m_nearer_peers.find(holder);
+    if (known != m_nearer_peers.end() && is_live(*known->second, now)) {
         return false;
     }
     const std::uint64_t key = base::hash_bytes(holder.value);
@@ -167,7 +169,7 @@
     if (nearer == others.end()) {
         return true;
     }
-    m_nearer[holder] = *nearer;
+    m_nearer_peers[holder] = *nearer;
     return false;
 }
 
--- a/src/ferryroad/relay/peer_group.hpp
+++ b/src/ferryroad/relay/peer_group.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// The routers that a router exchanges traffic notices with, and which of them follows a
-/// holder's event stream for all. Large deployments are cut into blocks within zones, so that the
-/// number of datagrams a router sends does not grow with the number of routers, and few of them
-/// leave the zone.
+/// Decides which routers a router exchanges traffic notices with, and which of them follows a
+/// holder's event stream on behalf of the others. Large deployments are divided into blocks within
+/// zones, so that the number of datagrams that a router sends does not grow with the number of
+/// routers, and few datagrams leave the zone.
 #pragma once
 
 #include "ferryroad/base/endpoint.hpp"
@@ -22,41 +22,42 @@
 
 namespace ferryroad::relay {
 
-/// A router as others reach it.
+/// Name, zone and address of a router, as other routers use them.
 struct peer_address {
     base::router_name name;
     base::zone_name zone;
     base::endpoint address;
-    /// Nothing where a router doesn't say, as in its notices.
+    /// Zero where the router does not state it, as in its notices.
     coordination::reading::link_capacity link = {};
 
     friend bool operator==(const peer_address&, const peer_address&) = default;
 };
 
-/// @return what a router says of itself to the others, beside its name.
+/// @return the text that a router publishes beside its name: address, zone and, if known, link.
 std::string encode_peer_note(const peer_address& peer);
-/// @return nothing where the note names no address.
+/// @return the router, or nothing where the note has no valid address and zone.
 std::optional<peer_address> decode_peer_note(const base::router_name& name, std::string_view note);
 
 struct peer_group_tunables {
-    core::topology::zone_map zones;  ///< With their regions.
-    /// A deployment of no more routers is one block over all zones: some 400 datagrams a second
-    /// at the pace of the exchange. Measured at 69 routers in 4 zones (design note 0055).
-    std::size_t whole = 20;
-    /// Routers of a block within a zone at most, this one included. As each holder is followed
-    /// once for each block, and an engine takes some 10 followers, a block is a whole zone in all
-    /// but the largest; the exchange's pace keeps the number of datagrams as it is.
-    std::size_t block = 64;
-    /// A peer that was not heard for so long does no work for others.
-    base::duration live_for = std::chrono::milliseconds(1500);
-    /// The same, and it is not sent to any more, unless it is declared.
-    base::duration known_for = std::chrono::seconds(16);
-    /// A peer that is declared and silent for so long is gone: longer than most restarts, and than
-    /// machines stand still.
+    core::topology::zone_map zones;  ///< Zones and the regions they belong to.
+    /// A deployment with at most this many routers is one block over all zones. At the interval of
+    /// the notices, that is some 400 datagrams per second.
+    std::size_t max_undivided = 20;
+    /// Most routers in a block within a zone, this router included. Each block follows each holder
+    /// once, and an engine accepts some 10 followers, so a block covers a whole zone in all but the
+    /// largest deployments. The interval of the notices grows with the block, which bounds the
+    /// number of datagrams.
+    std::size_t max_block_size = 64;
+    /// A peer that has been silent for this long is not live: it follows no holders for others.
+    base::duration live_timeout = std::chrono::milliseconds(1500);
+    /// After this much silence a peer is not sent to any more, unless it is declared.
+    base::duration forget_after = std::chrono::seconds(16);
+    /// A declared peer that has been silent for longer is gone. Most restarts and stalls of a
+    /// machine are shorter.
     base::duration gone_after = std::chrono::seconds(12);
 };
 
-/// Not thread-safe.
+/// The routers that one router knows, and its block among them. Not thread-safe.
 class peer_group {
   public:
     explicit peer_group(peer_address self, peer_group_tunables tunables = {});
@@ -66,25 +67,27 @@
     peer_group& operator=(const peer_group&) = delete;
     ~peer_group() = default;
 
-    /// Takes the whole list of routers that are present, this one among them or not.
+    /// Replaces the list of declared routers, those that are present. This router may be among
+    /// them.
     void declare(const std::vector<peer_address>& present, base::monotonic_time now = {});
-    /// A notice came from a router.
+    /// Records that a notice arrived from a router.
     void heard(const peer_address& peer, base::monotonic_time now);
 
-    /// @return the number of routers in this one's block, itself included.
+    /// @return the number of routers in this router's block, itself included.
     std::size_t block_size(base::monotonic_time now) const { return block(now).size() + 1; }
-    /// @return the other routers of this one's block.
+    /// @return the addresses of the other routers of this router's block.
     std::vector<base::endpoint> targets(base::monotonic_time now) const;
-    /// @return all other routers that are known, of whatever block.
-    std::vector<base::endpoint> everyone(base::monotonic_time now) const;
-    /// @return whether this router follows the holder for its block: one that is alive and as near
-    /// to the holder as there is one.
+    /// @return the addresses of all other known routers, in all blocks.
+    std::vector<base::endpoint> all_peers(base::monotonic_time now) const;
+    /// @return whether this router follows the holder for its block. Of the live routers nearest to
+    /// the holder, one does.
+    /// @param zone of the holder.
     bool follows(const base::engine_name& holder, const base::zone_name& zone,
                  base::monotonic_time now) const;
-    /// @return the peers heard a moment ago.
+    /// @return the peers of the block that sent a notice recently.
     std::set<base::router_name> live(base::monotonic_time now) const;
-    /// @return routers of the block and this zone that are gone, and that it is up to this one to
-    /// say so: of those that are alive it ranks first for them.
+    /// @return routers of the block and of this zone that are gone and that this router has to
+    /// report, because it ranks first for them among the live routers.
     std::vector<base::router_name> gone(base::monotonic_time now) const;
 
   private:
@@ -95,27 +98,27 @@
         std::optional<base::monotonic_time> heard_at;
     };
 
-    /// A peer that a holder belongs to rather than to this router.
+    /// For each holder a peer that ranks before this router as its follower.
     using nearer_peers = std::unordered_map<base::engine_name, const known_peer*>;
 
     bool ranks_first_for(const base::router_name& name, base::monotonic_time now) const;
     bool is_live(const known_peer& one, base::monotonic_time now) const;
     bool is_known(const known_peer& one, base::monotonic_time now) const;
-    /// @return the other routers of the block, from the cache while it holds.
+    /// @return the other routers of the block, from the cache while that is valid.
     const std::vector<const known_peer*>& block(base::monotonic_time now) const;
-    std::vector<const known_peer*> make_block(base::monotonic_time now) const;
-    /// @return when the first of those who were only heard is known no more.
+    std::vector<const known_peer*> compute_block(base::monotonic_time now) const;
+    /// @return the earliest time at which a known peer that is not declared is forgotten.
     base::monotonic_time next_expiry(base::monotonic_time now) const;
 
     peer_address m_self;
     peer_group_tunables m_tunables;
     std::map<base::router_name, known_peer> m_peers;
-    /// Made anew where the routers that are known changed, and at `m_block_until`.
+    /// Cache. Computed again when the known routers have changed, and at `m_block_expiry`.
     mutable std::optional<std::vector<const known_peer*>> m_block;
-    mutable base::monotonic_time m_block_until{};
-    /// One for each holder that was asked for, of this block: while it lives, this router doesn't
-    /// follow the holder. Without it, each look ranks all peers of the block for each holder.
-    mutable nearer_peers m_nearer;
+    mutable base::monotonic_time m_block_expiry{};
+    /// Cache for `follows`, for the current block: while the peer is live, this router does not
+    /// follow the holder. Without it, each call would rank all peers of the block.
+    mutable nearer_peers m_nearer_peers;
 };
 
 }  // namespace ferryroad::relay
--- a/test/relay/peer_exchange_test.cpp
+++ b/test/relay/peer_exchange_test.cpp
@@ -1,4 +1,4 @@
-/// What one router knows of its traffic reaches the others.
+/// Traffic notices carry what one router knows of load, prompts, weights and holders to the others.
 #include "ferryroad/relay/peer_exchange.hpp"
 
 #include "test/http/loopback.hpp"
@@ -25,7 +25,8 @@
           transport(network, self.address),
           exchange(
               {loop.scheduler, transport, registry, warm, loads}, self,
-              [this](const peer::holder_changes& told) { learned.push_back(told); }, settings()) {
+              [this](const peer::holder_changes& told) { received_changes.push_back(told); },
+              settings()) {
         listed_engine one;
         one.name = engine;
         one.versions["m"] = 1;
@@ -40,8 +41,8 @@
     }
     static exchange_settings settings() {
         exchange_settings all;
-        all.pace = 2ms;
-        all.heartbeat = 50ms;
+        all.notice_interval = 2ms;
+        all.heartbeat_interval = 50ms;
         return all;
     }
 
@@ -50,7 +51,7 @@
     engine_registry registry;
     core::placement::warm_state warm;
     core::placement::engine_load_view loads;
-    std::vector<peer::holder_changes> learned;
+    std::vector<peer::holder_changes> received_changes;
     peer_exchange exchange;
 };
 
@@ -72,7 +73,7 @@
 
 }  // namespace
 
-Test(peer_exchange, a_long_prompt_is_told_of_at_once) {
+Test(peer_exchange, a_long_prompt_is_announced_at_once) {
     fixture at;
     const engine_load load(at.first.registry, engine, 9190);
     at.first.exchange.dispatched(engine, parts, 9190);
@@ -82,7 +83,7 @@
     cr_assert_eq(at.second.warm.tokens_held(parts, engine, now), 6300);
 }
 
-Test(peer_exchange, other_load_is_told_of_soon_and_taken_back) {
+Test(peer_exchange, other_load_is_sent_with_the_next_notice_and_removed_again) {
     fixture at;
     {
         const engine_load load(at.first.registry, engine, 100);
@@ -94,25 +95,25 @@
     cr_assert(at.until([&] { return at.second.loads.totals(at.loop.scheduler.now()).empty(); }));
 }
 
-Test(peer_exchange, newer_weights_are_told_of_once) {
+Test(peer_exchange, newer_weights_are_passed_on_once) {
     fixture at;
     at.first.registry.saw_version(engine, "m", 2);
     cr_assert(at.until([&] { return at.second.registry.find(engine)->version_of("m") == 2; }));
     cr_assert_eq(at.first.exchange.notices_malformed(), 0);
 }
 
-Test(peer_exchange, changes_at_holders_are_told_in_several_datagrams) {
+Test(peer_exchange, holder_changes_are_split_over_several_datagrams) {
     fixture at;
     for (std::uint64_t number = 0; number < 10; ++number) {
         peer::holder_changes one{engine, 1, number * 40, number * 40 + 40, {}};
         one.parts.resize(40, parts.front());
         at.first.exchange.tell(one);
     }
-    cr_assert(at.until([&] { return at.second.learned.size() == 10; }));
-    cr_assert_eq(at.second.learned.back().next, 400);
+    cr_assert(at.until([&] { return at.second.received_changes.size() == 10; }));
+    cr_assert_eq(at.second.received_changes.back().next, 400);
 }
 
-Test(peer_exchange, a_quiet_router_gives_signs_of_life) {
+Test(peer_exchange, an_idle_router_sends_heartbeats) {
     fixture at;
     cr_assert(at.until([&] { return at.first.exchange.live_peers() == 1; }));
     cr_assert(at.until([&] { return at.second.exchange.live_peers() == 1; }));
@@ -126,14 +127,14 @@
         [&] { return at.first.exchange.live_peers() == 2 && third.exchange.live_peers() == 1; }));
 }
 
-Test(peer_exchange, junk_is_counted_and_dropped) {
+Test(peer_exchange, malformed_datagrams_are_counted_and_dropped) {
     fixture at;
     at.network.handlers[at.second.self.address](at.first.self.address, "junk");
     cr_assert_eq(at.second.exchange.notices_malformed(), 1);
     cr_assert_eq(at.second.exchange.live_peers(), 0);
 }
 
-Test(peer_exchange, what_is_told_before_the_start_is_dropped) {
+Test(peer_exchange, input_before_the_start_is_dropped) {
     ferryroad::test::loopback loop;
     fake_network network;
     engine_registry registry;
@@ -149,9 +150,9 @@
     cr_assert_eq(network.sent, 0);
 }
 
-/// Who brings engines to new weights tells every router at once, before any asked there in vain;
-/// a router of another zone (another block) is told, too.
-Test(peer_exchange, all_routers_hear_at_once_which_engines_load_and_which_have_loaded) {
+/// The router that runs a weights rollout notifies all routers at once, those of other blocks (here
+/// another zone) included, so that none of them sends requests to an engine that is loading.
+Test(peer_exchange, loading_and_loaded_weights_are_announced_to_all_blocks_at_once) {
     fixture at;
     std::vector<std::unique_ptr<router>> others;
     std::vector<peer_address> present{at.first.self, at.second.self};
@@ -169,7 +170,8 @@
     cr_assert_eq(far.registry.engines().at(engine).version_of("m"), 1);
     at.first.exchange.announce({{}, {{engine, "m", 2}}});
     cr_assert_eq(seen->version_of("m"), 2);
-    cr_assert(seen->loading_until == base::monotonic_time{}, "it serves again");
+    cr_assert(seen->loading_until == base::monotonic_time{}, "the engine must be available again");
     at.first.exchange.announce({{{engine, "m", 2, 1200ms}}, {}});
-    cr_assert(seen->loading_until == base::monotonic_time{}, "late news of what has ended");
+    cr_assert(seen->loading_until == base::monotonic_time{},
+              "a late announcement of a finished load must be ignored");
 }
--- a/test/relay/peer_group_test.cpp
+++ b/test/relay/peer_group_test.cpp
@@ -1,4 +1,4 @@
-/// Who hears a router's notices, and who follows a holder for all.
+/// Which routers receive a router's notices, and which one follows a holder for its block.
 #include "ferryroad/relay/peer_group.hpp"
 
 #include <criterion/criterion.h>
@@ -45,7 +45,7 @@
 
 }  // namespace
 
-Test(peer_group, a_note_names_address_and_zone) {
+Test(peer_group, a_note_has_address_and_zone) {
     const peer_address peer = router(1);
     cr_assert(decode_peer_note(peer.name, encode_peer_note(peer)) == peer);
     for (const char* bad : {"", "10.0.0.1:5", "name:5 z1", "10.0.0.1:0 z1"}) {
@@ -53,7 +53,7 @@
     }
 }
 
-Test(peer_group, declared_and_heard_routers_are_sent_to) {
+Test(peer_group, notices_go_to_declared_and_heard_routers) {
     peer_group group(router(0));
     group.declare({router(0), router(1)});
     cr_assert_eq(group.targets(start).size(), 1);
@@ -64,7 +64,7 @@
     cr_assert_eq(group.targets(start + 17s).size(), 0);
 }
 
-Test(peer_group, a_router_that_is_heard_again_and_again_stays_and_one_that_moved_is_sent_to_there) {
+Test(peer_group, a_router_that_is_heard_regularly_stays_known_and_its_new_address_is_used) {
     peer_group group(router(0));
     group.declare({router(0), router(1)});
     for (int second = 0; second < 40; second += 8) {
@@ -80,12 +80,12 @@
     cr_assert_eq(group.targets(start + 57s).size(), 1);
 }
 
-Test(peer_group, a_router_sends_to_a_bounded_number_that_sends_to_it) {
+Test(peer_group, targets_are_mutual_and_bounded_in_number) {
     const auto all = routers(370);
     const auto groups = groups_of(all);
     for (std::size_t one = 0; one < all.size(); ++one) {
         const auto targets = groups[one].targets(start);
-        cr_assert_lt(targets.size(), peer_group_tunables{}.block);
+        cr_assert_lt(targets.size(), peer_group_tunables{}.max_block_size);
         cr_assert_eq(groups[one].block_size(start), targets.size() + 1);
         for (std::size_t other = 0; other < all.size(); ++other) {
             const auto back = groups[other].targets(start);
@@ -118,7 +118,7 @@
     }
 }
 
-Test(peer_group, one_router_follows_a_holder_and_it_is_near) {
+Test(peer_group, exactly_one_router_near_a_holder_follows_it) {
     const auto all = routers(7);
     const auto groups = groups_of(all);
     std::set<std::size_t> busy;
@@ -134,7 +134,7 @@
         }
         cr_assert_eq(followers, 1);
     }
-    cr_assert_eq(busy.size(), 2);  // Both of the zone.
+    cr_assert_eq(busy.size(), 2);  // Both routers of the zone.
 }
 
 Test(peer_group, a_silent_router_follows_nothing) {
@@ -177,14 +177,14 @@
     }
 }
 
-Test(peer_group, a_note_may_tell_the_link) {
+Test(peer_group, a_note_may_have_the_link_capacity) {
     peer_address peer{base::router_name("r"), base::zone_name("z"), {"10.0.0.1", 7000}, {}};
     peer.link = coordination::reading::link_capacity(200);
     cr_assert(decode_peer_note(peer.name, encode_peer_note(peer)) == peer);
     cr_assert(decode_peer_note(peer.name, "10.0.0.1:7000 z x")->link.value == 0);
 }
 
-Test(peer_group, one_router_of_a_block_says_that_another_is_gone) {
+Test(peer_group, exactly_one_router_of_a_block_reports_a_gone_router) {
     std::vector<peer_address> all;
     for (int number = 0; number < 8; ++number) {
         all.push_back({base::router_name("r" + std::to_string(number)),
