--- a/src/ferryroad/relay/quota_datagrams.cpp
+++ b/src/ferryroad/relay/quota_datagrams.cpp
@@ -13,23 +13,23 @@
 using coordination::quota::quota_ask;
 using coordination::quota::quota_verdict;
 
-/// An ask that waits for its answer; registered while it lives.
-class quota_datagrams::held_ask {
+/// A request that waits for its answer. It is registered with its owner as long as it lives.
+class quota_datagrams::pending_ask {
   public:
-    held_ask(quota_datagrams& owner, base::router_name home)
+    pending_ask(quota_datagrams& owner, base::router_name home)
         : m_owner(owner),
           m_home(std::move(home)),
           m_number(owner.m_next_number++),
           m_timer(owner.m_scheduler.executor()) {
-        m_owner.m_held.emplace(m_number, this);
+        m_owner.m_pending.emplace(m_number, this);
     }
-    ~held_ask() { m_owner.m_held.erase(m_number); }
-    held_ask(const held_ask&) = delete;
-    held_ask& operator=(const held_ask&) = delete;
+    ~pending_ask() { m_owner.m_pending.erase(m_number); }
+    pending_ask(const pending_ask&) = delete;
+    pending_ask& operator=(const pending_ask&) = delete;
 
-    /// Returns after `longest`, or once answered.
-    runtime::task<std::optional<quota_verdict>> wait(base::duration longest) {
-        m_timer.expires_after(longest);
+    /// Returns once the answer has arrived or `timeout` has passed.
+    runtime::task<std::optional<quota_verdict>> wait(base::duration timeout) {
+        m_timer.expires_after(timeout);
         if (!m_verdict) {
             co_await m_timer.async_wait(boost::asio::as_tuple(boost::asio::use_awaitable));
         }
@@ -51,14 +51,15 @@
 };
 
 quota_datagrams::quota_datagrams(runtime::scheduler& scheduler, peer::transport& transport,
-                                 base::router_name self, decide_ask decide,
-                                 base::duration answer_within)
+                                 base::router_name self, ask_handler handler,
+                                 base::duration answer_timeout)
     : m_scheduler(scheduler),
       m_transport(transport),
       m_self(std::move(self)),
-      m_decide(std::move(decide)),
-      m_answer_within(answer_within),
-      // Answers to a process of the same name that ended are told from this one's.
+      m_ask_handler(std::move(handler)),
+      m_answer_timeout(answer_timeout),
+      // A random first number tells this process's requests from those of an earlier process of the
+      // same name, whose answers may still arrive.
       m_next_number(scheduler.random().next()) {}
 
 void quota_datagrams::set_routers(const std::vector<peer_address>& present) {
@@ -74,9 +75,9 @@
     if (address == m_addresses.end()) {
         co_return std::nullopt;
     }
-    held_ask held(*this, std::move(home));
-    send(address->second, peer::quota_request{held.number(), std::move(question)});
-    co_return co_await held.wait(m_answer_within);
+    pending_ask pending(*this, std::move(home));
+    send(address->second, peer::quota_request{pending.number(), std::move(question)});
+    co_return co_await pending.wait(m_answer_timeout);
 }
 
 void quota_datagrams::send(const base::endpoint& to, peer::call_body body) {
@@ -90,7 +91,8 @@
         return;
     }
     if (const auto* request = std::get_if<peer::quota_request>(&message->body)) {
-        send(from, peer::quota_grant{request->number, m_decide(message->sender, request->ask)});
+        send(from,
+             peer::quota_grant{request->number, m_ask_handler(message->sender, request->ask)});
         return;
     }
     const auto* grant = std::get_if<peer::quota_grant>(&message->body);
@@ -98,9 +100,9 @@
         ++m_malformed;
         return;
     }
-    const auto held = m_held.find(grant->number);
-    if (held != m_held.end() && held->second->home() == message->sender) {
-        held->second->take(grant->verdict);
+    const auto pending = m_pending.find(grant->number);
+    if (pending != m_pending.end() && pending->second->home() == message->sender) {
+        pending->second->take(grant->verdict);
     }
 }
 
--- a/src/ferryroad/relay/quota_datagrams.hpp
+++ b/src/ferryroad/relay/quota_datagrams.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Asks about limits, and their answers, as datagrams between routers: lost now and then, never
-/// waited for long.
+/// Requests for quota between routers and the answers to them, as datagrams. A datagram may be
+/// lost, and a request waits for its answer only for a short time.
 #pragma once
 
 #include "ferryroad/peer/messages.hpp"
@@ -18,42 +18,46 @@
 
 namespace ferryroad::relay {
 
-/// Decides what another router asks.
-using decide_ask = std::function<coordination::quota::quota_verdict(
+/// Answers a request of another router, which is named by the first argument.
+using ask_handler = std::function<coordination::quota::quota_verdict(
     const base::router_name&, const coordination::quota::quota_ask&)>;
 
-/// Used from the event loop's thread; outlives its asks, and its ports outlive it.
+/// Sends this router's requests for quota to the router that counts (the home) and answers those of
+/// other routers. Not thread-safe: to be used from the event loop's thread. Must outlive its
+/// pending requests; scheduler and transport must outlive it.
 class quota_datagrams {
   public:
-    /// @param answer_within a router that has not answered by then is taken for silent. Several
-    /// times the way between zones and back; a small part of what any caller waits.
+    /// @param answer_timeout after which a router counts as silent. It is several times the round
+    /// trip between zones, and a small part of the time that any caller waits.
     quota_datagrams(runtime::scheduler& scheduler, peer::transport& transport,
-                    base::router_name self, decide_ask decide,
-                    base::duration answer_within = std::chrono::milliseconds(40));
+                    base::router_name self, ask_handler handler,
+                    base::duration answer_timeout = std::chrono::milliseconds(40));
 
-    /// Takes the routers that are present.
+    /// Sets the routers that are present, with their addresses.
     void set_routers(const std::vector<peer_address>& present);
-    /// Takes a datagram that is an ask or an answer.
+    /// Handles a datagram with a request or an answer; counts it where it is malformed.
     void take(const base::endpoint& from, std::string_view bytes);
-    /// @return nothing where the router's address isn't known, or no answer came in time.
+    /// Sends a request to a router and waits for the answer.
+    /// @return the answer, or nothing where the router's address is unknown or no answer came in
+    /// time.
     runtime::task<std::optional<coordination::quota::quota_verdict>> ask(
         base::router_name home, coordination::quota::quota_ask question);
 
-    /// @return datagrams received that made no sense.
+    /// @return the number of malformed datagrams received.
     std::uint64_t malformed() const { return m_malformed; }
 
   private:
-    class held_ask;
+    class pending_ask;
 
     void send(const base::endpoint& to, peer::call_body body);
 
     runtime::scheduler& m_scheduler;
     peer::transport& m_transport;
     base::router_name m_self;
-    decide_ask m_decide;
-    base::duration m_answer_within;
+    ask_handler m_ask_handler;
+    base::duration m_answer_timeout;
     std::map<base::router_name, base::endpoint> m_addresses;
-    std::unordered_map<std::uint64_t, held_ask*> m_held;  ///< By number.
+    std::unordered_map<std::uint64_t, pending_ask*> m_pending;  ///< By the request's number.
     std::uint64_t m_next_number;
     std::uint64_t m_malformed = 0;
 };
--- a/src/ferryroad/relay/rollout_lease.hpp
+++ b/src/ferryroad/relay/rollout_lease.hpp
@@ -1,7 +1,8 @@
 /// @file
-/// The rollout's right to act: its lease, and the word that its holders leave in it. A holder
-/// that means to act says so first; one that has done acting says since when. So the next
-/// holder waits only after one that may have acted just now.
+/// The lease that entitles a router to act on a rollout (to order engines to load weights), with
+/// the note that holders write into the lease. A holder announces in it that it is about to act;
+/// when it is done, it replaces this by the time of its last action. The next holder therefore has
+/// to wait only where its predecessor may have acted recently.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -17,66 +18,76 @@
 
 /// A router that may contend for the rollout's lease.
 struct lease_contender {
-    bool stopping = false;
+    bool stopping = false;     ///< Shuts down.
     bool reads_owner = false;  ///< Reads the store's tables for other routers.
-    bool holds = false;        ///< Has the lease.
-    base::duration up_for{};   ///< Since its start.
+    bool holds = false;        ///< Holds the lease.
+    base::duration up_for{};   ///< Time since its start.
 
     friend bool operator==(const lease_contender&, const lease_contender&) = default;
 };
 
-/// Few contend, so that asking whether the lease is free doesn't cost more with each router: those
-/// that read the store for all, and whoever holds it. While readers aren't heard, others take their
-/// place and contend.
-/// @return whether the router does. Thread-safe.
+/// Only a few routers contend, so that the cost of polling the lease does not grow with the number
+/// of routers: those that read the store on behalf of all, and the holder. Where the readers are
+/// silent, other routers take their place as readers and contend.
+/// @return whether the router contends for the lease. Thread-safe.
 bool contends_for_rollout(const lease_contender& router);
 
-/// Used from the event loop's thread. Collaborators outlive it.
+/// Not thread-safe: to be used from the event loop's thread. Collaborators must outlive it.
 class rollout_lease {
   public:
-    /// @param turn least time between the acts of two holders.
+    /// @param handover_gap least time between the last action of a holder and the first of the
+    /// next.
     rollout_lease(const runtime::scheduler& scheduler, leases::lease_service& leases,
-                  const owner_clock& clock, leases::lease_name name, base::duration turn);
+                  const owner_clock& clock, leases::lease_name name, base::duration handover_gap);
 
-    /// Called often. @param acting whether there is something to do.
+    /// Updates the note in the lease. To be called often.
+    /// @param acting whether there is something to do.
     void intend(bool acting);
-    /// This router acts no more, and leaves word since when. To be called before the lease is
-    /// released on a planned stop.
+    /// Ends this router's actions for good and writes the time of the last one into the lease. To
+    /// be called on a planned stop, before the lease is released.
     void finish();
-    /// To be asked right before each act. @return the token that it must carry, or nothing
-    /// where this router may not act now.
+    /// To be called immediately before each action.
+    /// @return the fencing token that the action must carry, or nothing where this router may not
+    /// act now.
     std::optional<base::fencing_token> token();
-    /// An act goes out; it may reach its engine at any moment until `act_ended`, which must follow.
-    void act_begins() { ++m_acts_out; }
-    /// Its answer came, or none in time: it has reached its engine by now, if ever.
+    /// Records that an action is sent. It may reach its engine at any time until `act_ended`, which
+    /// must be called once for it.
+    void act_begins() { ++m_actions_in_flight; }
+    /// Records that an action was answered or timed out: if it ever reaches its engine, it has done
+    /// so.
     void act_ended();
     /// @return whether this router holds the lease, acting or not.
     bool held() const { return m_leases.token(m_name).has_value(); }
 
   private:
+    /// Value of the note while a holder acts. Greater ones are the time of its last action, in
+    /// milliseconds of the table owner's clock; the least of them is written while that clock is unknown.
     static constexpr std::uint64_t note_acting = 1;
-    /// Before its turn a holder says that it acts only this much ahead: if it ends until then,
-    /// the next one need not wait for it.
-    static constexpr base::duration say_ahead = std::chrono::milliseconds(300);
-    /// Within which an act that is out reaches its engine: the call's limit
+    /// A holder that still has to wait announces its actions only this long before it may act. If
+    /// it ends before that, its successor does not have to wait for it.
+    static constexpr base::duration announce_lead = std::chrono::milliseconds(300);
+    /// Longest time from sending an action to its arrival at the engine: the timeout of the call
     /// (`rollout_settings::call_limit`).
-    static constexpr base::duration longest_act = std::chrono::milliseconds(700);
+    static constexpr base::duration max_action_time = std::chrono::milliseconds(700);
 
-    /// @return a moment after which no act of this router reaches an engine, if it begins no more.
-    base::monotonic_time last_arrival() const;
-    void leave_word();
-    void note_new_hold();
-    base::monotonic_time end_of_turn(std::uint64_t predecessor_note) const;
+    /// @return a time after which no action of this router arrives at an engine, unless it starts
+    /// another one.
+    base::monotonic_time latest_arrival_time() const;
+    void write_last_action_note();
+    /// Resets the state where this router has got or lost the lease since the last call.
+    void track_holder_change();
+    /// @return when this router, a new holder, may act for the first time.
+    base::monotonic_time first_action_time(std::uint64_t predecessor_note) const;
 
     const runtime::scheduler& m_scheduler;
     leases::lease_service& m_leases;
     const owner_clock& m_clock;
     leases::lease_name m_name;
-    base::duration m_turn;
+    base::duration m_handover_gap;
     std::optional<base::fencing_token> m_last_token;
-    base::monotonic_time m_act_from{};
-    std::optional<base::monotonic_time> m_last_act;
-    std::size_t m_acts_out = 0;  ///< Begun and not ended.
+    base::monotonic_time m_may_act_from{};
+    std::optional<base::monotonic_time> m_last_action;
+    std::size_t m_actions_in_flight = 0;  ///< Sent, and neither answered nor timed out.
     bool m_finished = false;
 };
 
--- a/test/relay/lease_router.hpp
+++ b/test/relay/lease_router.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Scaffolding: the row of the rollout's lease, and a router that contends for it.
+/// Test double for the table row of the rollout's lease, and a router that contends for the lease.
 #pragma once
 
 #include "ferryroad/relay/rollout_lease.hpp"
@@ -11,8 +11,8 @@
 
 namespace ferryroad::relay::test {
 
-/// One row under conditions.
-class one_row final : public platform::table {
+/// Table with a single row. Writes are conditional on the row's version, and may be refused.
+class single_row_table final : public platform::table {
   public:
     runtime::task<platform::result<std::vector<platform::transaction_outcome>>> transact(
         std::vector<platform::transaction> transactions) override {
@@ -50,12 +50,12 @@
     bool writes_refused = false;
 };
 
-/// Its clock is that of the row's owner.
+/// A router that contends for the lease; its clock equals the table owner's.
 struct lease_router {
     lease_router(ferryroad::test::loopback& loop, platform::table& table, std::uint64_t process,
-                 base::duration turn = std::chrono::milliseconds(200))
+                 base::duration handover_gap = std::chrono::milliseconds(200))
         : leases(loop.scheduler, table, {"router", base::incarnation(process)}, settings()),
-          lease(loop.scheduler, leases, clock, leases::lease_name("x"), turn) {
+          lease(loop.scheduler, leases, clock, leases::lease_name("x"), handover_gap) {
         clock.observe(loop.scheduler.now(), loop.scheduler.now(),
                       std::chrono::milliseconds(
                           base::to_milliseconds(loop.scheduler.now().time_since_epoch())));
--- a/test/relay/quota_datagrams_test.cpp
+++ b/test/relay/quota_datagrams_test.cpp
@@ -1,4 +1,5 @@
-/// Routers count for each other; none waits long for another, and none grants without a limit.
+/// Routers agree on the one that counts for a tenant, don't wait long for a silent router, and stay
+/// within the limit without it.
 #include "ferryroad/relay/quota_datagrams.hpp"
 
 #include "ferryroad/peer/codec.hpp"
@@ -43,7 +44,7 @@
             datagrams.take(from, bytes);
         });
     }
-    /// Datagrams to it are lost.
+    /// From now on datagrams to this router are lost.
     void fall_silent() {
         transport.on_datagram([](const auto&, auto) {});
     }
@@ -82,7 +83,7 @@
         cr_assert(ended);
         return decided;
     }
-    /// @return the router that counts.
+    /// @return the router that counts for the tenant.
     router& home() {
         const auto name = count(0, 1).counted_by;
         for (const auto& one : routers) {
@@ -90,7 +91,7 @@
                 return *one;
             }
         }
-        cr_assert_fail("nobody counted");
+        cr_assert_fail("no router counted for the tenant");
         return *routers[0];
     }
     std::size_t other_than(const router& home) const { return routers[0].get() == &home ? 1 : 0; }
@@ -108,7 +109,7 @@
     cr_assert_eq(at.count(0, 1).verdict.askers, 5);
 }
 
-Test(quota_datagrams, what_one_router_spends_is_gone_for_the_others) {
+Test(quota_datagrams, all_routers_draw_on_the_same_quota) {
     fixture at(3);
     for (std::size_t index = 0; index < 3; ++index) {
         at.count(index, 1);
@@ -119,13 +120,13 @@
     cr_assert_gt(refused.verdict.retry_after.count(), 0);
 }
 
-Test(quota_datagrams, a_router_alone_counts_for_itself) {
+Test(quota_datagrams, a_single_router_counts_for_itself) {
     fixture at(1);
     cr_assert(at.count(0, 1).counted_by == at.routers[0]->self.name);
     cr_assert_eq(at.network.sent, 0);
 }
 
-Test(quota_datagrams, a_silent_router_is_left_for_the_next_one) {
+Test(quota_datagrams, a_silent_home_is_replaced_by_the_next_router) {
     fixture at(3);
     router& home = at.home();
     home.fall_silent();
@@ -135,10 +136,11 @@
     cr_assert(decided.verdict.granted);
     cr_assert_neq(decided.counted_by, home.self.name);
     at.count(asking, 1);
-    cr_assert_eq(at.routers[asking]->quotas.counters().asks_unanswered, 3, "passed over by now");
+    cr_assert_eq(at.routers[asking]->quotas.counters().asks_unanswered, 3,
+                 "a silent router must not be asked again");
 }
 
-Test(quota_datagrams, a_router_that_nobody_answers_spends_its_own_part) {
+Test(quota_datagrams, an_isolated_router_grants_at_most_its_own_share) {
     fixture at(3);
     router& home = at.home();
     const std::size_t asking = at.other_than(home);
@@ -149,12 +151,12 @@
     for (int index = 0; index < 50; ++index) {
         granted += at.count(asking, 100).verdict.granted ? 100 : 0;
     }
-    // It may be the next to count for the tenant, and then grants the part of one that asks.
+    // It may be the next in line to count for the tenant; it then grants the share of one asker.
     cr_assert_lt(granted, 1000);
     cr_assert_gt(granted, 0);
 }
 
-Test(quota_datagrams, late_doubled_and_foreign_answers_change_nothing) {
+Test(quota_datagrams, late_duplicated_and_foreign_answers_are_ignored) {
     fixture at(3);
     router& home = at.home();
     router& asking = *at.routers[at.other_than(home)];
--- a/test/relay/rollout_lease_test.cpp
+++ b/test/relay/rollout_lease_test.cpp
@@ -1,4 +1,5 @@
-/// A holder acts only after it said so, and waits only after one that may have acted just now.
+/// A holder acts only after it announced that in the lease, and has to wait only where its
+/// predecessor may have acted recently.
 #include "ferryroad/relay/rollout_lease.hpp"
 
 #include "test/relay/lease_router.hpp"
@@ -12,7 +13,8 @@
 
 using router = lease_router;
 
-/// Runs until the router may act, meaning to all the while. @return how long it took.
+/// Runs until the router may act, while it announces that it wants to.
+/// @return how long that took.
 base::duration time_to_act(ferryroad::test::loopback& loop, router& one) {
     const base::monotonic_time began = loop.scheduler.now();
     loop.context.restart();
@@ -32,9 +34,9 @@
 
 }  // namespace
 
-Test(rollout_lease, the_first_holder_acts_once_it_has_said_so) {
+Test(rollout_lease, the_first_holder_acts_once_it_has_announced_it) {
     ferryroad::test::loopback loop;
-    one_row table;
+    single_row_table table;
     router first(loop, table, 1, 5s);
     run_for(loop, 30ms);
     cr_assert(first.lease.held());
@@ -43,9 +45,9 @@
     cr_assert_eq(first.lease.token()->value, 1);
 }
 
-Test(rollout_lease, waits_a_whole_turn_after_one_that_was_acting) {
+Test(rollout_lease, waits_the_whole_gap_after_a_holder_that_was_acting) {
     ferryroad::test::loopback loop;
-    one_row table;
+    single_row_table table;
     router first(loop, table, 1);
     time_to_act(loop, first);
     first.leases.stop();
@@ -55,9 +57,9 @@
     cr_assert_eq(second.lease.token()->value, 2);
 }
 
-Test(rollout_lease, a_turn_counts_from_the_end_of_the_hold_before_and_not_from_its_own) {
+Test(rollout_lease, the_gap_counts_from_the_end_of_the_previous_hold) {
     ferryroad::test::loopback loop;
-    one_row table;
+    single_row_table table;
     router first(loop, table, 1, 1500ms);
     time_to_act(loop, first);
     router second(loop, table, 2, 1500ms);
@@ -69,12 +71,12 @@
     cr_assert(waited < 1s, "%ld ms", static_cast<long>(base::to_milliseconds(waited)));
 }
 
-Test(rollout_lease, one_that_stops_says_when_it_acted_last) {
+Test(rollout_lease, a_stopping_holder_writes_the_time_of_its_last_action) {
     ferryroad::test::loopback loop;
-    one_row table;
+    single_row_table table;
     router first(loop, table, 1, 1500ms);
     time_to_act(loop, first);
-    run_for(loop, 1600ms);  // It meant to act all the while, and did not.
+    run_for(loop, 1600ms);  // It announced actions all the time, but took none.
     first.lease.finish();
     first.lease.intend(true);
     cr_assert_not(first.lease.token().has_value());
@@ -84,9 +86,9 @@
     cr_assert(waited < 1s, "%ld ms", static_cast<long>(base::to_milliseconds(waited)));
 }
 
-Test(rollout_lease, one_that_never_came_to_act_is_not_waited_for) {
+Test(rollout_lease, a_holder_that_never_acted_is_not_waited_for) {
     ferryroad::test::loopback loop;
-    one_row table;
+    single_row_table table;
     router first(loop, table, 1, 1500ms);
     time_to_act(loop, first);
     const base::monotonic_time acted = loop.scheduler.now();
@@ -107,9 +109,9 @@
     cr_assert(since < 2500ms, "%ld ms", static_cast<long>(base::to_milliseconds(since)));
 }
 
-Test(rollout_lease, follows_at_once_one_that_had_done_acting_long_ago) {
+Test(rollout_lease, acts_at_once_after_a_holder_that_finished_long_ago) {
     ferryroad::test::loopback loop;
-    one_row table;
+    single_row_table table;
     router first(loop, table, 1);
     time_to_act(loop, first);
     first.lease.intend(false);
--- a/test/relay/rollout_order_arrival_test.cpp
+++ b/test/relay/rollout_order_arrival_test.cpp
@@ -104,7 +104,7 @@
 
 Test(rollout_order_arrival, a_leader_that_ends_while_its_order_is_on_its_way_is_waited_for) {
     ferryroad::test::loopback loop;
-    one_row table;
+    single_row_table table;
     leader first(loop, table, 1, slow_way);
     run_until(loop, [&] { return !first.upstream.sent.empty(); });
     first.stop();
@@ -115,7 +115,7 @@
 
 Test(rollout_order_arrival, so_is_one_whose_order_has_just_been_answered) {
     ferryroad::test::loopback loop;
-    one_row table;
+    single_row_table table;
     leader first(loop, table, 1, slow_way);
     run_until(loop, [&] { return !first.upstream.answered.empty(); });
     first.stop();
