--- a/src/ferryroad/relay/release_service.cpp
+++ b/src/ferryroad/relay/release_service.cpp
@@ -15,17 +15,18 @@
 
 constexpr std::string_view component = "relay.release";
 
-/// Reports come seldom: two that stay without an answer are some 0.5 s, a quarter of a grant.
-constexpr std::uint32_t silent_reports = 2;
+/// A coordinator that leaves this many reports unanswered counts as silent. Two reports take some
+/// 0.5 s, a quarter of a grant.
+constexpr std::uint32_t max_unanswered_reports = 2;
 
-coordination::quota::homes_tunables homes_of_releases() {
+coordination::quota::homes_tunables coordinator_choice_tunables() {
     coordination::quota::homes_tunables tunables;
-    tunables.silent_asks = silent_reports;
+    tunables.silent_asks = max_unanswered_reports;
     return tunables;
 }
 
-/// Of the record, and of what coordinators are reckoned by.
-std::string key_of(const base::pool_name& pool) {
+/// @return the key of the pool's release record, which also determines the pool's coordinator.
+std::string record_key(const base::pool_name& pool) {
     return "release/" + pool.value;
 }
 
@@ -58,7 +59,7 @@
       m_incarnation(m_ports.scheduler.random().next()),
       m_settings(settings),
       m_traffic(m_ports.registry, settings.canary),
-      m_homes(homes_of_releases()) {}
+      m_coordinators(coordinator_choice_tunables()) {}
 
 void release_service::start() {
     m_ports.scheduler.spawn(component, run());
@@ -76,13 +77,13 @@
         names.push_back(one.name);
         m_addresses.emplace(one.name, one.address);
     }
-    m_homes.declare(std::move(names));
+    m_coordinators.declare(std::move(names));
     m_knows_routers = true;
 }
 
 runtime::task<void> release_service::run() {
     while (!m_stopped) {
-        co_await m_ports.scheduler.sleep_for(m_settings.tick);
+        co_await m_ports.scheduler.sleep_for(m_settings.tick_interval);
         step();
     }
 }
@@ -90,42 +91,42 @@
 void release_service::step() {
     const base::monotonic_time now = m_ports.scheduler.now();
     const auto pools = open_pools();
-    std::erase_if(m_reporting, [&](const auto& entry) {
+    std::erase_if(m_report_states, [&](const auto& entry) {
         return std::find(pools.begin(), pools.end(), entry.first) == pools.end();
     });
     for (const base::pool_name& pool : pools) {
-        reporting& state = m_reporting[pool];
-        if (now - state.looked_at >= m_settings.look_pace) {
-            state.looked_at = now;
+        report_state& state = m_report_states[pool];
+        if (now - state.evaluated_at >= m_settings.evaluation_interval) {
+            state.evaluated_at = now;
             state.saw_bad = m_traffic.look(pool) || state.saw_bad;
         }
         if (!m_knows_routers) {
             continue;
         }
-        if (!state.sent_at || now - *state.sent_at >= pace()) {
-            report(pool, state, now);
+        if (!state.sent_at || now - *state.sent_at >= current_report_interval()) {
+            send_report(pool, state, now);
         }
     }
-    std::erase_if(m_led, [&](const auto& entry) {
-        return now - entry.second.reported_at > m_settings.leads_for;
+    std::erase_if(m_coordinated, [&](const auto& entry) {
+        return now - entry.second.reported_at > m_settings.coordinator_timeout;
     });
-    std::vector<base::pool_name> led;
-    for (const auto& [pool, one] : m_led) {
-        led.push_back(pool);
+    std::vector<base::pool_name> coordinated_pools;
+    for (const auto& [pool, one] : m_coordinated) {
+        coordinated_pools.push_back(pool);
     }
-    for (const base::pool_name& pool : led) {
+    for (const base::pool_name& pool : coordinated_pools) {
         tick(pool);
     }
 }
 
 void release_service::take(const base::endpoint& from, std::string_view bytes) {
     if (peer::is_release_report(bytes)) {
-        const auto told = peer::decode_release_report(bytes);
-        if (!told) {
+        const auto received = peer::decode_release_report(bytes);
+        if (!received) {
             ++m_counters.malformed;
             return;
         }
-        if (const auto answer = take_report(*told)) {
+        if (const auto answer = handle_report(*received)) {
             m_ports.transport.send(from, peer::encode(*answer));
         }
         return;
@@ -135,7 +136,7 @@
         ++m_counters.malformed;
         return;
     }
-    take_notice(*notice);
+    handle_notice(*notice);
 }
 
 // ---- As any router ----
@@ -143,33 +144,34 @@
 std::vector<base::pool_name> release_service::open_pools() const {
     std::vector<base::pool_name> pools;
     for (const auto& [pool, order] : m_traffic.gate().orders()) {
-        const auto done = m_done.find(pool);
-        if (done == m_done.end() || done->second != order.number) {
+        const auto done = m_finished_orders.find(pool);
+        if (done == m_finished_orders.end() || done->second != order.number) {
             pools.push_back(pool);
         }
     }
     return pools;
 }
 
-base::duration release_service::pace() const {
-    const auto routers = static_cast<std::int64_t>(m_homes.size());
-    return std::max(m_settings.report_pace, m_settings.report_pace_per_router * routers);
+base::duration release_service::current_report_interval() const {
+    const auto routers = static_cast<std::int64_t>(m_coordinators.size());
+    return std::max(m_settings.report_interval, m_settings.report_interval_per_router * routers);
 }
 
-void release_service::note_unanswered(const base::pool_name& pool, reporting& state,
-                                      base::monotonic_time now) {
-    if (!state.awaited) {
+void release_service::record_unanswered(const base::pool_name& pool, report_state& state,
+                                        base::monotonic_time now) {
+    if (!state.awaiting) {
         return;
     }
     ++m_counters.reports_unanswered;
-    m_homes.silent(*state.awaited, now);
-    runtime::log(runtime::log_level::info, component, "report not answered",
-                 {{"pool", pool.value}, {"coordinator", state.awaited->value}});
-    state.awaited.reset();
+    m_coordinators.silent(*state.awaiting, now);
+    runtime::log(runtime::log_level::info, component,
+                 "coordinator did not answer a release report in time",
+                 {{"pool", pool.value}, {"coordinator", state.awaiting->value}});
+    state.awaiting.reset();
 }
 
 std::vector<peer::release_report> release_service::reports_of(const own_release& own,
-                                                              const reporting& state) const {
+                                                              const report_state& state) const {
     peer::release_report head;
     head.sender = m_self;
     head.sender_incarnation = m_incarnation;
@@ -189,87 +191,89 @@
     return reports;
 }
 
-void release_service::report(const base::pool_name& pool, reporting& state,
-                             base::monotonic_time now) {
-    note_unanswered(pool, state, now);
+void release_service::send_report(const base::pool_name& pool, report_state& state,
+                                  base::monotonic_time now) {
+    record_unanswered(pool, state, now);
     state.sent_at = now;
     ++state.number;
     const own_release* own = m_traffic.find(pool);
     if (own == nullptr) {
         return;
     }
-    const auto home = m_homes.home_for(key_of(pool), now).value_or(m_self);
+    const auto coordinator = m_coordinators.home_for(record_key(pool), now).value_or(m_self);
     const auto reports = reports_of(*own, state);
-    const auto address = m_addresses.find(home);
-    if (home == m_self || address == m_addresses.end()) {
+    const auto address = m_addresses.find(coordinator);
+    if (coordinator == m_self || address == m_addresses.end()) {
         for (const peer::release_report& one : reports) {
-            if (const auto answer = take_report(one)) {
-                take_notice(*answer);
+            if (const auto answer = handle_report(one)) {
+                handle_notice(*answer);
             }
         }
         return;
     }
-    state.awaited = home;
+    state.awaiting = coordinator;
     for (const peer::release_report& one : reports) {
         ++m_counters.reports_sent;
         m_ports.transport.send(address->second, peer::encode(one));
     }
 }
 
-void release_service::take_notice(const peer::release_notice& notice) {
-    const auto state = m_reporting.find(notice.pool);
-    if (state != m_reporting.end() && state->second.awaited == notice.sender) {
-        state->second.awaited.reset();
+void release_service::handle_notice(const peer::release_notice& notice) {
+    const auto state = m_report_states.find(notice.pool);
+    if (state != m_report_states.end() && state->second.awaiting == notice.sender) {
+        state->second.awaiting.reset();
     }
-    m_homes.answered(notice.sender);
-    const auto since = told_at(notice);
+    m_coordinators.answered(notice.sender);
+    const auto since = valid_since(notice);
     if (notice.told && since) {
         m_traffic.told(*notice.told, *since);
     }
     if (notice.done) {
-        m_done[notice.pool] = notice.order;
+        m_finished_orders[notice.pool] = notice.order;
     }
 }
 
-std::optional<base::monotonic_time> release_service::told_at(
+std::optional<base::monotonic_time> release_service::valid_since(
     const peer::release_notice& notice) const {
     if (!notice.told || notice.told->phase != release::release_phase::trial) {
         return m_ports.scheduler.now();
     }
-    const auto state = m_reporting.find(notice.pool);
-    const bool answers_last =
-        state != m_reporting.end() && notice.answers != 0 && notice.answers == state->second.number;
+    const auto state = m_report_states.find(notice.pool);
+    const bool answers_last = state != m_report_states.end() && notice.answers != 0 &&
+                              notice.answers == state->second.number;
     return answers_last ? state->second.sent_at : std::nullopt;
 }
 
 // ---- As coordinator ----
 
-release_service::led_release& release_service::lead(const release::release_order& order) {
-    const auto known = m_led.find(order.pool);
-    if (known != m_led.end() && known->second.coordinator.order() == order) {
+release_service::coordinated_release& release_service::coordinate(
+    const release::release_order& order) {
+    const auto known = m_coordinated.find(order.pool);
+    if (known != m_coordinated.end() && known->second.coordinator.order() == order) {
         return known->second;
     }
-    runtime::log(runtime::log_level::info, component, "coordinates from now on",
+    runtime::log(runtime::log_level::info, component, "coordinates the release from now on",
                  {{"pool", order.pool.value},
                   {"order", std::to_string(order.number.value)},
-                  {"routers", std::to_string(m_homes.size())}});
-    led_release fresh{release::release_coordinator(order, m_settings.coordinator),
-                      {},
-                      canary::canary_trial(m_settings.canary.judge),
-                      {},
-                      {}};
-    return m_led.insert_or_assign(order.pool, std::move(fresh)).first->second;
+                  {"routers", std::to_string(m_coordinators.size())}});
+    coordinated_release created{release::release_coordinator(order, m_settings.coordinator),
+                                {},
+                                canary::canary_trial(m_settings.canary.judge),
+                                {},
+                                {}};
+    return m_coordinated.insert_or_assign(order.pool, std::move(created)).first->second;
 }
 
-std::optional<peer::release_notice> release_service::take_report(
+std::optional<peer::release_notice> release_service::handle_report(
     const peer::release_report& report) {
     const release::release_order* order = m_traffic.gate().order_of(report.pool);
     if (!m_knows_routers || order == nullptr || order->number < report.order) {
-        return std::nullopt;  // Another is asked, as long as this router hasn't read the order.
+        // The sender turns to another router until this one has read the order.
+        return std::nullopt;
     }
     ++m_counters.reports_taken;
     const base::monotonic_time now = m_ports.scheduler.now();
-    led_release& one = lead(*order);
+    coordinated_release& one = coordinate(*order);
     one.reported_at = now;
     one.coordinator.reported(
         {report.sender, report.order, report.phase, report.saw_bad, report.unrepeatable}, now);
@@ -281,12 +285,12 @@
         report.number};
 }
 
-void release_service::look(const base::pool_name& pool, led_release& one,
-                           base::monotonic_time now) {
-    if (now - one.looked_at < m_settings.look_pace) {
+void release_service::evaluate(const base::pool_name& pool, coordinated_release& one,
+                               base::monotonic_time now) {
+    if (now - one.evaluated_at < m_settings.evaluation_interval) {
         return;
     }
-    one.looked_at = now;
+    one.evaluated_at = now;
     const canary::verdict before = one.trial.last().found;
     const canary::judgement found = one.trial.look(one.evidence.sum());
     if (found.found == before) {
@@ -305,10 +309,10 @@
 }
 
 release::coordinator_view release_service::view_of(const base::pool_name& pool,
-                                                   const led_release& one,
+                                                   const coordinated_release& one,
                                                    base::monotonic_time now) const {
     release::coordinator_view view;
-    view.routers = std::max<std::size_t>(1, m_homes.size());
+    view.routers = std::max<std::size_t>(1, m_coordinators.size());
     view.found = to_trial_verdict(one.trial.last().found);
     view.at_deadline = to_trial_verdict(one.trial.at_deadline());
     const release::software_version& target = one.coordinator.order().target;
@@ -327,50 +331,51 @@
 }
 
 void release_service::tick(const base::pool_name& pool) {
-    const auto found = m_led.find(pool);
-    if (found == m_led.end() || !m_ports.registry.known()) {
+    const auto found = m_coordinated.find(pool);
+    if (found == m_coordinated.end() || !m_ports.registry.known()) {
         return;
     }
-    led_release& one = found->second;
+    coordinated_release& one = found->second;
     const base::monotonic_time now = m_ports.scheduler.now();
-    look(pool, one, now);
+    evaluate(pool, one, now);
     const release::release_order order = one.coordinator.order();
-    const auto wanted = one.coordinator.tick(view_of(pool, one, now), now);
-    for (const release::coordinator_action& each : wanted) {
-        carry_out(order, each);
+    const auto requested = one.coordinator.tick(view_of(pool, one, now), now);
+    for (const release::coordinator_action& each : requested) {
+        execute(order, each);
     }
 }
 
-release_service::led_release* release_service::find_led(const base::pool_name& pool,
-                                                        release::order_number order) {
-    const auto found = m_led.find(pool);
-    const bool same = found != m_led.end() && found->second.coordinator.order().number == order;
+release_service::coordinated_release* release_service::find_coordinated(
+    const base::pool_name& pool, release::order_number order) {
+    const auto found = m_coordinated.find(pool);
+    const bool same =
+        found != m_coordinated.end() && found->second.coordinator.order().number == order;
     return same ? &found->second : nullptr;
 }
 
-void release_service::carry_out(const release::release_order& order,
-                                const release::coordinator_action& wanted) {
-    if (std::holds_alternative<release::read_record>(wanted)) {
-        m_ports.scheduler.spawn(component, read(order));
-    } else if (const auto* record = std::get_if<release::write_record>(&wanted)) {
-        m_ports.scheduler.spawn(component, write(order, *record));
-    } else if (const auto* status = std::get_if<release::tell_status>(&wanted)) {
-        m_ports.scheduler.spawn(component, tell(order, *status));
-    } else if (const auto* all = std::get_if<release::tell_routers>(&wanted)) {
-        tell_all(all->notice);
+void release_service::execute(const release::release_order& order,
+                              const release::coordinator_action& requested) {
+    if (std::holds_alternative<release::read_record>(requested)) {
+        m_ports.scheduler.spawn(component, read_row(order));
+    } else if (const auto* record = std::get_if<release::write_record>(&requested)) {
+        m_ports.scheduler.spawn(component, write_row(order, *record));
+    } else if (const auto* status = std::get_if<release::tell_status>(&requested)) {
+        m_ports.scheduler.spawn(component, send_status(order, *status));
+    } else if (const auto* all = std::get_if<release::tell_routers>(&requested)) {
+        broadcast_phase(all->notice);
     }
 }
 
-/// A decision at the deadline has no verdict of its own: the evidence nearest to its bound tells
-/// why.
-void release_service::log_decision(const release::phase_notice& told) {
-    const led_release* one = find_led(told.pool, told.order);
+/// A decision at the deadline has no verdict of its own, so the evidence that is nearest to its
+/// bound is logged as the reason.
+void release_service::log_decision(const release::phase_notice& decision) {
+    const coordinated_release* one = find_coordinated(decision.pool, decision.order);
     const canary::judgement found = one == nullptr ? canary::judgement{} : one->trial.last();
     const auto at_deadline = one == nullptr ? canary::verdict::undecided : one->trial.at_deadline();
-    runtime::log(runtime::log_level::info, component, "phase told to all",
-                 {{"pool", told.pool.value},
-                  {"order", std::to_string(told.order.value)},
-                  {"phase", std::string(release::to_string(told.phase))},
+    runtime::log(runtime::log_level::info, component, "release phase sent to all routers",
+                 {{"pool", decision.pool.value},
+                  {"order", std::to_string(decision.order.value)},
+                  {"phase", std::string(release::to_string(decision.phase))},
                   {"routers", std::to_string(m_addresses.size())},
                   {"found", std::string(canary::to_string(found.found))},
                   {"at_deadline", std::string(canary::to_string(at_deadline))},
@@ -382,10 +387,10 @@
                   {"bound", std::to_string(found.bound)}});
 }
 
-void release_service::tell_all(const release::phase_notice& told) {
-    const peer::release_notice notice{m_self, told.pool, told.order, told, false};
-    log_decision(told);
-    take_notice(notice);
+void release_service::broadcast_phase(const release::phase_notice& decision) {
+    const peer::release_notice notice{m_self, decision.pool, decision.order, decision, false};
+    log_decision(decision);
+    handle_notice(notice);
     for (const auto& [name, address] : m_addresses) {
         if (name != m_self) {
             m_ports.transport.send(address, peer::encode(notice));
@@ -393,11 +398,11 @@
     }
 }
 
-runtime::task<void> release_service::read(release::release_order order) {
+runtime::task<void> release_service::read_row(release::release_order order) {
     ++m_counters.table_calls;
-    std::vector<platform::row_key> keys{platform::row_key(key_of(order.pool))};
+    std::vector<platform::row_key> keys{platform::row_key(record_key(order.pool))};
     const auto rows = co_await m_ports.table.read(std::move(keys));
-    led_release* one = find_led(order.pool, order.number);
+    coordinated_release* one = find_coordinated(order.pool, order.number);
     if (one == nullptr) {
         co_return;
     }
@@ -421,22 +426,22 @@
     tick(order.pool);
 }
 
-runtime::task<void> release_service::write(release::release_order order,
-                                           release::write_record wanted) {
+runtime::task<void> release_service::write_row(release::release_order order,
+                                               release::write_record requested) {
     ++m_counters.table_calls;
-    const platform::row_key key(key_of(order.pool));
+    const platform::row_key key(record_key(order.pool));
     platform::transaction change;
-    change.conditions.push_back({key, platform::row_version(wanted.expected_row)});
-    change.writes.push_back({key, release::encode(wanted.record)});
+    change.conditions.push_back({key, platform::row_version(requested.expected_row)});
+    change.writes.push_back({key, release::encode(requested.record)});
     std::vector<platform::transaction> changes;
     changes.push_back(std::move(change));
     const auto outcomes = co_await m_ports.table.transact(std::move(changes));
-    led_release* one = find_led(order.pool, order.number);
+    coordinated_release* one = find_coordinated(order.pool, order.number);
     if (one == nullptr) {
         co_return;
     }
     const base::monotonic_time now = m_ports.scheduler.now();
-    const std::string phase(release::to_string(wanted.record.phase));
+    const std::string phase(release::to_string(requested.record.phase));
     if (!outcomes || outcomes->empty() || !outcomes->front().committed) {
         log_call(order, "write " + phase, outcomes ? "overtaken" : outcomes.error().message);
         one->coordinator.call_failed(now);
@@ -447,12 +452,12 @@
     tick(order.pool);
 }
 
-runtime::task<void> release_service::tell(release::release_order order,
-                                          release::tell_status wanted) {
+runtime::task<void> release_service::send_status(release::release_order order,
+                                                 release::tell_status requested) {
     ++m_counters.table_calls;
-    const std::string phase(release::to_string(wanted.phase));
-    const auto done = co_await m_ports.tell_status(std::move(wanted));
-    led_release* one = find_led(order.pool, order.number);
+    const std::string phase(release::to_string(requested.phase));
+    const auto done = co_await m_ports.publish_status(std::move(requested));
+    coordinated_release* one = find_coordinated(order.pool, order.number);
     if (one == nullptr) {
         co_return;
     }
--- a/src/ferryroad/relay/rollout_lease.hpp
+++ b/src/ferryroad/relay/rollout_lease.hpp
@@ -61,13 +61,14 @@
 
   private:
     /// Value of the note while a holder acts. Greater ones are the time of its last action, in
-    /// milliseconds of the table owner's clock; the least of them is written while that clock is unknown.
+    /// milliseconds of the table owner's clock; the least of them is written while that clock is
+    /// unknown.
     static constexpr std::uint64_t note_acting = 1;
     /// A holder that still has to wait announces its actions only this long before it may act. If
     /// it ends before that, its successor does not have to wait for it.
     static constexpr base::duration announce_lead = std::chrono::milliseconds(300);
     /// Longest time from sending an action to its arrival at the engine: the timeout of the call
-    /// (`rollout_settings::call_limit`).
+    /// (`rollout_settings::call_timeout`).
     static constexpr base::duration max_action_time = std::chrono::milliseconds(700);
 
     /// @return a time after which no action of this router arrives at an engine, unless it starts
--- a/src/ferryroad/relay/table_server.cpp
+++ b/src/ferryroad/relay/table_server.cpp
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-/// A call that waits for news; registered while it lives.
+/// A call that waits for changes. It is registered with its table as long as it lives.
 class table_server::held_call {
   public:
     held_call(runtime::scheduler& scheduler, table_pointer table, std::uint64_t number)
@@ -37,9 +37,9 @@
     held_call(const held_call&) = delete;
     held_call& operator=(const held_call&) = delete;
 
-    /// Returns after `longest`, or once woken.
-    runtime::task<void> wait(base::duration longest) {
-        m_timer.expires_after(longest);
+    /// Returns once woken, or after `timeout`.
+    runtime::task<void> wait(base::duration timeout) {
+        m_timer.expires_after(timeout);
         co_await m_timer.async_wait(boost::asio::as_tuple(boost::asio::use_awaitable));
     }
     void wake() { m_timer.cancel(); }
@@ -72,10 +72,10 @@
 void table_server::news(const std::string& table) {
     const auto found = m_tables.find(table);
     if (found != m_tables.end()) {
-        offered_table& told = *found->second;
-        told.owner_has_more = false;
-        if (told.packed && told.packed->selected.revision != told.copy->revision()) {
-            told.packed.reset();
+        offered_table& offered = *found->second;
+        offered.large_change_at_owner = false;
+        if (offered.packed && offered.packed->selected.revision != offered.copy->revision()) {
+            offered.packed.reset();
         }
         wake_all(*found->second);
     }
@@ -84,7 +84,7 @@
 void table_server::large_news_at_owner(const std::string& table) {
     const auto found = m_tables.find(table);
     if (found != m_tables.end()) {
-        found->second->owner_has_more = true;
+        found->second->large_change_at_owner = true;
         wake_all(*found->second);
     }
 }
@@ -95,10 +95,11 @@
     }
 }
 
-/// Whoever knows more than this copy has read what the owner was sending.
-bool table_server::is_to_read_owner(const offered_table& table,
-                                    const peer::table_request& request) const {
-    return request.may_redirect && table.owner_has_more && request.after <= table.copy->version();
+/// A caller that knows more than this copy has already read what the owner was sending.
+bool table_server::should_redirect(const offered_table& table,
+                                   const peer::table_request& request) const {
+    return request.may_redirect && table.large_change_at_owner &&
+           request.after <= table.copy->version();
 }
 
 runtime::task<peer::message_bytes> table_server::answer(peer::message_bytes bytes) {
@@ -114,53 +115,53 @@
         co_return peer::encode(peer::table_answer{});
     }
     const table_pointer table = found->second;
-    if (is_to_be_held(*table, *request) && table->held.size() < m_settings.held_calls) {
-        const auto longest = std::min<base::duration>(request->hold, m_settings.longest_hold);
-        co_await hold(table, longest);
+    if (should_hold(*table, *request) && table->held.size() < m_settings.max_held_calls) {
+        const auto timeout = std::min<base::duration>(request->hold, m_settings.max_hold);
+        co_await hold(table, timeout);
     }
-    co_return peer::encode(answer_now(*table, *request, received_at));
+    co_return peer::encode(make_answer(*table, *request, received_at));
 }
 
-/// A router that follows a table looks for another source where this one has no copy; one that has
-/// just started has nobody else to ask.
-bool table_server::is_to_be_held(const offered_table& table,
-                                 const peer::table_request& request) const {
+/// Without a copy, calls for changes are not held, as the caller turns to another source. Calls for
+/// the whole table are: they come from routers that have just started and have no other source.
+bool table_server::should_hold(const offered_table& table,
+                               const peer::table_request& request) const {
     if (m_stopped) {
         return false;
     }
     if (!table.copy->confirmed()) {
         return request.whole;
     }
-    const bool has_news = request.whole || table.copy->has_changes_after(request.after);
-    return !has_news && !is_to_read_owner(table, request);
+    const bool has_changes = request.whole || table.copy->has_changes_after(request.after);
+    return !has_changes && !should_redirect(table, request);
 }
 
-runtime::task<void> table_server::hold(table_pointer table, base::duration longest) {
+runtime::task<void> table_server::hold(table_pointer table, base::duration timeout) {
     held_call call(m_scheduler, std::move(table), m_next_call++);
-    co_await call.wait(longest);
+    co_await call.wait(timeout);
 }
 
 void table_server::select_rows(offered_table& table, const peer::table_request& request,
                                peer::table_answer& answer) const {
     auto changes = request.whole ? std::nullopt : table.copy->changes_after(request.after);
     answer.whole = !changes.has_value();
-    const row_selection wanted{table.copy->revision(), answer.whole,
-                               answer.whole ? 0 : request.after};
-    if (request.may_pack && table.packed && table.packed->selected == wanted) {
+    const row_selection selection{table.copy->revision(), answer.whole,
+                                  answer.whole ? 0 : request.after};
+    if (request.may_pack && table.packed && table.packed->selected == selection) {
         answer.packed = table.packed->rows;
         return;
     }
     answer.rows = changes ? std::move(*changes) : table.copy->rows();
-    if (request.may_pack && bytes_of(answer.rows) >= m_settings.least_packed_bytes) {
-        table.packed = packed_selection{wanted, peer::pack(answer.rows)};
+    if (request.may_pack && bytes_of(answer.rows) >= m_settings.min_packed_bytes) {
+        table.packed = packed_selection{selection, peer::pack(answer.rows)};
         answer.packed = table.packed->rows;
         answer.rows.clear();
     }
 }
 
-peer::table_answer table_server::answer_now(offered_table& table,
-                                            const peer::table_request& request,
-                                            base::monotonic_time received_at) const {
+peer::table_answer table_server::make_answer(offered_table& table,
+                                             const peer::table_request& request,
+                                             base::monotonic_time received_at) const {
     peer::table_answer answer;
     const auto& confirmed = table.copy->confirmed();
     if (!confirmed || m_stopped) {
@@ -169,7 +170,7 @@
     answer.known = true;
     select_rows(table, request, answer);
     const std::size_t bytes = answer.packed ? answer.packed->block.size() : bytes_of(answer.rows);
-    answer.at_owner = is_to_read_owner(table, request) ||
+    answer.at_owner = should_redirect(table, request) ||
                       (request.may_redirect && bytes > m_settings.relayed_bytes);
     if (answer.at_owner) {
         answer.rows.clear();
--- a/src/ferryroad/relay/table_server.hpp
+++ b/src/ferryroad/relay/table_server.hpp
@@ -1,8 +1,9 @@
 /// @file
-/// Answers other routers from this router's copies of outside tables. A call is held until
-/// there is news, so that news passes on at once and an idle table costs few calls. News that is
-/// too large for that is only announced: each router reads it from the owner over its own link. A
-/// router that starts is given the whole copy, or waits for it where this one is starting, too.
+/// Serves this router's copies of external tables to other routers. A call is held until there are
+/// changes, so that changes are passed on without delay and an idle table costs few calls. A change
+/// that is too large to be passed on is only announced: each router reads it from the table's owner
+/// over its own link. A starting router gets the whole copy, or waits for it where this router is
+/// starting as well.
 #pragma once
 
 #include "ferryroad/coordination/reading/table_mirror.hpp"
@@ -22,34 +23,39 @@
 namespace ferryroad::relay {
 
 struct table_server_settings {
-    /// Calls held at once for a table; more are answered at once. A router has at most one call
-    /// a table at its parent, and a parent few more routers below it than the tree's degree.
-    std::size_t held_calls = 128;
-    /// No call is held longer, whatever it asks for.
-    base::duration longest_hold = std::chrono::seconds(2);
-    /// Rows of an answer that are packed, at least; fewer bytes are not worth the work.
-    std::size_t least_packed_bytes = std::size_t{4} * 1024;
-    /// Bytes of changed rows, packed where the asker reads that, that are passed on; what is larger
-    /// is read from the owner. `relayed_bytes_for` reckons it from this router's link.
+    /// Most calls that are held at the same time for one table; further calls are answered
+    /// immediately. A router has at most one call per table at its parent, and a parent serves few
+    /// more routers than the tree's degree.
+    std::size_t max_held_calls = 128;
+    /// No call is held for longer, whatever it requests.
+    base::duration max_hold = std::chrono::seconds(2);
+    /// Rows of an answer are packed (compressed) from this size on; for fewer bytes it does not
+    /// pay.
+    std::size_t min_packed_bytes = std::size_t{4} * 1024;
+    /// Most bytes of changed rows that are passed on, counted after packing where the caller
+    /// accepts packed rows. The caller has to read larger changes from the owner.
+    /// `relayed_bytes_for` computes the limit from this router's link.
     std::size_t relayed_bytes = std::size_t{24} * 1024;
 };
 
-/// Used from the event loop's thread; kept until the loop has ended. Collaborators outlive it.
+/// Not thread-safe: to be used from the event loop's thread. Must live until the loop has ended;
+/// collaborators must outlive it.
 class table_server {
   public:
     table_server(runtime::scheduler& scheduler, peer::transport& transport,
                  table_server_settings settings = {});
 
-    /// Answers from `copy`, which outlives this. Before `start`.
+    /// Serves the table from `copy`, which must outlive the server. To be called before `start`.
     void offer(const std::string& table, const coordination::reading::table_mirror& copy);
-    /// Called once, before any traffic.
+    /// To be called once, before any traffic.
     void start();
-    /// Tells whoever asks to look for another router.
+    /// From now on answers that there is no copy, so that callers turn to another router.
     void stop();
-    /// The copy of a table has a new confirmation.
+    /// To be called when the copy of a table has a new confirmation. Wakes the held calls.
     void news(const std::string& table);
-    /// The owner is sending large news of a table, which are not in the copy yet. Those who wait
-    /// are told at once, so that all routers read them at the same time and not one after another.
+    /// To be called when the owner has begun to send a large change of a table that is not in the
+    /// copy yet. Callers with held calls are told without delay, so that all routers read the
+    /// change at the same time and not one after another.
     void large_news_at_owner(const std::string& table);
 
     std::uint64_t answers() const { return m_answers; }
@@ -58,7 +64,7 @@
   private:
     class held_call;
 
-    /// Which rows of a copy an answer has.
+    /// Identifies the rows of a copy that an answer has.
     struct row_selection {
         std::uint64_t revision = 0;  ///< Of the copy.
         bool whole = false;
@@ -66,7 +72,8 @@
 
         friend bool operator==(const row_selection&, const row_selection&) = default;
     };
-    /// Routers that start or hear of a change together ask for the same rows.
+    /// Kept because routers that start, or learn of a change, at the same time request the same
+    /// rows.
     struct packed_selection {
         row_selection selected;
         peer::packed_rows rows;
@@ -74,22 +81,22 @@
 
     struct offered_table {
         const coordination::reading::table_mirror* copy = nullptr;
-        bool owner_has_more = false;  ///< Until the copy's next confirmation.
+        bool large_change_at_owner = false;  ///< Until the copy's next confirmation.
         std::map<std::uint64_t, held_call*> held;
-        std::optional<packed_selection> packed;  ///< While the copy stays as it is.
+        std::optional<packed_selection> packed;  ///< While the copy is unchanged.
     };
 
-    /// Shared with the calls that are held: the event loop may drop those last.
+    /// Shared with the held calls, which the event loop may destroy after the server.
     using table_pointer = std::shared_ptr<offered_table>;
 
     runtime::task<peer::message_bytes> answer(peer::message_bytes bytes);
-    runtime::task<void> hold(table_pointer table, base::duration longest);
+    runtime::task<void> hold(table_pointer table, base::duration timeout);
     void wake_all(const offered_table& table);
-    bool is_to_read_owner(const offered_table& table, const peer::table_request& request) const;
-    bool is_to_be_held(const offered_table& table, const peer::table_request& request) const;
-    peer::table_answer answer_now(offered_table& table, const peer::table_request& request,
-                                  base::monotonic_time received_at) const;
-    /// Rows that are many are packed where the asker may get them so.
+    bool should_redirect(const offered_table& table, const peer::table_request& request) const;
+    bool should_hold(const offered_table& table, const peer::table_request& request) const;
+    peer::table_answer make_answer(offered_table& table, const peer::table_request& request,
+                                   base::monotonic_time received_at) const;
+    /// Fills in the rows, packed where they are large and the caller accepts that.
     void select_rows(offered_table& table, const peer::table_request& request,
                      peer::table_answer& answer) const;
 
--- a/test/relay/release_service_test.cpp
+++ b/test/relay/release_service_test.cpp
@@ -1,4 +1,5 @@
-/// Releases over several routers: good versions get in force in time, bad ones go, whatever fails.
+/// Releases over several routers: good versions are completed in time and bad ones rolled back,
+/// also where routers or the store fail.
 #include "ferryroad/relay/release_service.hpp"
 
 #include "test/relay/simulated_release.hpp"
@@ -27,7 +28,7 @@
     return {false, software == "v2" ? 80ms : 20ms};
 }
 
-/// An order, and its engines a moment later.
+/// Gives an order; the engines of the new version follow a little later.
 void begin(simulated_release& run) {
     run.order("v2", allowed);
     run.run_for(300ms);
@@ -48,7 +49,7 @@
 
 }  // namespace
 
-Test(release_service, a_good_version_is_in_force_in_time_and_then_all_are_silent) {
+Test(release_service, a_good_version_completes_in_time_and_then_nothing_is_sent) {
     simulated_release run(5);
     begin(run);
     cr_assert(run.run_until_all_know(release_phase::trial, 2s));
@@ -67,7 +68,7 @@
     cr_assert_eq(run.network.sent, sent, "%zu datagrams", run.network.sent - sent);
     cr_assert_eq(run.rows.calls, calls);
     cr_assert_eq(run.unserved, 0);
-    run.start(2);  // Asks once.
+    run.start(2);  // It asks for the state once.
     run.run_for(3s);
     cr_assert(run.all_know(release_phase::completed));
     cr_assert_leq(run.network.sent - sent, 12);
@@ -89,7 +90,7 @@
     }
 }
 
-Test(release_service, a_coordinator_that_is_killed_is_followed) {
+Test(release_service, a_killed_coordinator_is_replaced) {
     for (const auto phase : {release_phase::completed, release_phase::rolled_back}) {
         simulated_release run(6);
         begin(run);
@@ -109,7 +110,7 @@
     }
 }
 
-Test(release_service, operators_are_told_though_whoever_wrote_the_end_is_killed) {
+Test(release_service, the_end_is_published_though_the_coordinator_that_wrote_it_is_killed) {
     for (const auto& engine : {fails_often, is_good}) {
         simulated_release run(4);
         run.engine = engine;
@@ -130,7 +131,7 @@
     }
 }
 
-Test(release_service, with_the_store_down_nothing_goes_forward_and_a_bad_version_is_left) {
+Test(release_service, a_bad_version_gets_no_requests_while_the_store_is_down) {
     simulated_release run(5);
     begin(run);
     run.run_for(2s);
@@ -159,10 +160,10 @@
     cr_assert_eq(run.unserved, 0);
     run.rows.down = false;
     run.run_for(3s);
-    cr_assert(run.statuses.back().phase != release_phase::trial, "told how it ended");
+    cr_assert(run.statuses.back().phase != release_phase::trial, "the end must be published");
 }
 
-Test(release_service, a_router_that_is_cut_off_ends_its_trial_by_itself) {
+Test(release_service, an_isolated_router_ends_its_trial_by_itself) {
     simulated_release run(5);
     begin(run);
     run.run_for(3s);
@@ -171,13 +172,13 @@
     run.routers[cut]->cut_off();
     const base::monotonic_time at = run.time.now();
     run.run_for(grant + 100ms);
-    const std::size_t by_then = run.sent_to("v2", {}, cut);
+    const std::size_t sent_before = run.sent_to("v2", {}, cut);
     run.run_for(2s);
-    cr_assert_eq(run.sent_to("v2", {}, cut), by_then);
+    cr_assert_eq(run.sent_to("v2", {}, cut), sent_before);
     cr_assert_gt(run.sent_to("v1", at + grant, cut), 0);
 }
 
-Test(release_service, all_routers_restart_in_the_trial) {
+Test(release_service, a_release_survives_the_restart_of_all_routers) {
     simulated_release run(5);
     begin(run);
     run.run_for(3s);
@@ -196,7 +197,7 @@
     run.run_for(2s);
     cr_assert_gt(run.sent_to("v2"), 0);
     run.remove_engines("v1");
-    run.add_engines("v3", 4);  // Not confirmed yet when the others go.
+    run.add_engines("v3", 4);  // Not confirmed yet when the other engines are removed.
     run.remove_engines("v2");
     run.run_for(1s);
     cr_assert_gt(run.sent_to("v3"), 0);
@@ -205,7 +206,7 @@
     cr_assert_eq(run.rows.calls, 0);
 }
 
-Test(release_service, a_router_that_starts_while_the_store_is_down_serves_what_is_listed) {
+Test(release_service, a_router_started_while_the_store_is_down_uses_the_listed_engines) {
     simulated_release run(3);
     run.add_engines("v2", 4);
     run.rows.down = true;
@@ -215,7 +216,7 @@
     cr_assert_gt(run.sent_to("v1", run.time.now() - 1s, 0), 0);
 }
 
-Test(release_service, a_router_that_does_not_know_the_others_yet_leads_nothing) {
+Test(release_service, a_router_without_a_list_of_routers_coordinates_nothing) {
     simulated_release run(3);
     begin(run);
     run.run_for(3s);
@@ -229,7 +230,7 @@
     cr_assert_eq(run.routers[0]->service.counters().table_calls, 0);
 }
 
-Test(release_service, what_makes_no_sense_is_counted_and_left) {
+Test(release_service, malformed_datagrams_are_counted_and_ignored) {
     simulated_release run(2);
     run.routers[0]->service.take({"10.0.0.9", 9}, "nonsense");
     run.routers[0]->service.take({"10.0.0.9", 9}, std::string("\x08\0\0\0FRRR", 8));
@@ -241,7 +242,7 @@
     cr_assert_eq(run.routers[0]->service.led(), 0);
 }
 
-Test(release_service, a_trial_told_to_a_router_that_stood_still_grants_nothing) {
+Test(release_service, a_delayed_trial_notice_grants_nothing) {
     simulated_release run(3);
     begin(run);
     cr_assert(run.run_until_all_know(release_phase::trial, 2s));
@@ -249,15 +250,15 @@
     const std::size_t other = coordinator == 0 ? 1 : 0;
     run.routers[other]->cut_off();
     run.run_for(grant + 500ms);
-    // What was told before the cut, and waited, comes late.
-    auto& stood_still = run.routers[other]->service;
-    const auto order = stood_still.traffic().gate().order_of(the_pool)->number;
+    // A notice sent before the isolation arrives late.
+    auto& isolated = run.routers[other]->service;
+    const auto order = isolated.traffic().gate().order_of(the_pool)->number;
     const release::phase_notice told{
         the_pool, order, release::software_version("v2"), release_phase::trial, {}, {}};
     const auto& teller = run.routers[coordinator]->self;
     const base::monotonic_time later = run.time.now();
-    stood_still.take(teller.address, peer::encode(peer::release_notice{teller.name, the_pool, order,
-                                                                       told, false, 1}));
+    isolated.take(teller.address,
+                  peer::encode(peer::release_notice{teller.name, the_pool, order, told, false, 1}));
     run.run_for(1s);
     cr_assert_eq(run.sent_to("v2", later, other), 0);
     cr_assert_gt(run.sent_to("v1", later, other), 0);
--- a/test/relay/rollout_order_arrival_test.cpp
+++ b/test/relay/rollout_order_arrival_test.cpp
@@ -1,7 +1,7 @@
-/// An order counts when it reaches its engine, which may be long after the leader of the rollout
-/// asked for its right to act: the connection is made first, and the process may stand still. A
-/// leader that ends meanwhile left word of the moment at which it had asked. Its successor waited
-/// for a turn from then, and its own first order followed the predecessor's last one too soon.
+/// An order may reach its engine long after the holder of the rollout's lease checked its token:
+/// the connection has to be set up first, and the process may be suspended. A holder that stops
+/// meanwhile must not write the time of that check into the lease: its successor would count the
+/// handover gap from then, and its first order would follow the predecessor's last one too soon.
 #include "ferryroad/relay/rollout_service.hpp"
 #include "test/relay/fake_upstream.hpp"
 #include "test/relay/lease_router.hpp"
@@ -15,21 +15,21 @@
 
 namespace {
 
-constexpr base::duration turn = 1500ms;
-/// As long as a connection to an engine may take.
-constexpr base::duration slow_way = 300ms;
+constexpr base::duration handover_gap = 1500ms;
+/// Delay of orders; setting up a connection to an engine may take this long.
+constexpr base::duration connection_delay = 300ms;
 
-/// Notes when orders were sent and when they reached their engine.
-class distant_upstream : public fake_upstream {
+/// Delays orders, and records when they were sent, reached their engine and were answered.
+class delayed_upstream : public fake_upstream {
   public:
-    distant_upstream(runtime::scheduler& scheduler, base::duration way)
-        : fake_upstream(scheduler), m_scheduler(scheduler), m_way(way) {}
+    delayed_upstream(runtime::scheduler& scheduler, base::duration delay)
+        : fake_upstream(scheduler), m_scheduler(scheduler), m_delay(delay) {}
 
     runtime::task<coordination::rollout::order_answer> order(engine_target target,
                                                              weights_order wanted,
                                                              base::duration limit) {
         sent.push_back(m_scheduler.now());
-        co_await m_scheduler.sleep_for(m_way);
+        co_await m_scheduler.sleep_for(m_delay);
         arrived.push_back(m_scheduler.now());
         const auto answer =
             co_await fake_upstream::order(std::move(target), std::move(wanted), limit);
@@ -43,15 +43,15 @@
 
   private:
     runtime::scheduler& m_scheduler;
-    base::duration m_way;
+    base::duration m_delay;
 };
 
-/// A router that brings one engine to newer weights as soon as it leads.
-struct leader {
-    leader(ferryroad::test::loopback& loop, platform::table& table, std::uint64_t process,
-           base::duration way)
-        : upstream(loop.scheduler, way),
-          contender(loop, table, process, turn),
+/// A router that orders one engine to load newer weights as soon as it holds the lease.
+struct holder_router {
+    holder_router(ferryroad::test::loopback& loop, platform::table& table, std::uint64_t process,
+                  base::duration delay)
+        : upstream(loop.scheduler, delay),
+          contender(loop, table, process, handover_gap),
           service({loop.scheduler, upstream, registry, policies, contender.lease, {}}, settings()) {
         listed_engine one;
         one.name.value = "e1";
@@ -64,23 +64,23 @@
     static rollout_settings settings() {
         rollout_settings all;
         all.holder = "router";
-        all.period = 2ms;
+        all.step_interval = 2ms;
         all.rollout.first_look = 2ms;
         all.rollout.look_period = 2ms;
         return all;
     }
-    /// As on a planned stop.
+    /// Stops as on a planned stop.
     void stop() {
         service.stop();
         contender.lease.finish();
         contender.leases.stop();
     }
 
-    distant_upstream upstream;
+    delayed_upstream upstream;
     engine_registry registry;
     policy_source policies{policy_bounds{}};
     lease_router contender;
-    rollout_service<distant_upstream, rollout_lease> service;
+    rollout_service<delayed_upstream, rollout_lease> service;
 };
 
 void run_until(ferryroad::test::loopback& loop, std::function<bool()> condition) {
@@ -88,9 +88,10 @@
     cr_assert(loop.run([&] { return loop.until(condition); }));
 }
 
-/// @return from the first leader's last order's arrival to that of its successor's first.
-base::duration turn_between(ferryroad::test::loopback& loop, const leader& first,
-                            const leader& second) {
+/// @return the time from the arrival of the first holder's last order to that of the successor's
+/// first.
+base::duration gap_between(ferryroad::test::loopback& loop, const holder_router& first,
+                           const holder_router& second) {
     run_until(loop, [&] { return !first.upstream.arrived.empty(); });
     run_until(loop, [&] { return !second.upstream.arrived.empty(); });
     return second.upstream.arrived.front() - first.upstream.arrived.back();
@@ -102,24 +103,24 @@
 
 }  // namespace
 
-Test(rollout_order_arrival, a_leader_that_ends_while_its_order_is_on_its_way_is_waited_for) {
+Test(rollout_order_arrival, a_holder_that_stops_while_its_order_is_in_flight_is_waited_for) {
     ferryroad::test::loopback loop;
     single_row_table table;
-    leader first(loop, table, 1, slow_way);
+    holder_router first(loop, table, 1, connection_delay);
     run_until(loop, [&] { return !first.upstream.sent.empty(); });
     first.stop();
-    leader second(loop, table, 2, 0ms);
-    const base::duration between = turn_between(loop, first, second);
-    cr_assert(between >= turn, "%ld ms", milliseconds(between));
+    holder_router second(loop, table, 2, 0ms);
+    const base::duration between = gap_between(loop, first, second);
+    cr_assert(between >= handover_gap, "%ld ms", milliseconds(between));
 }
 
-Test(rollout_order_arrival, so_is_one_whose_order_has_just_been_answered) {
+Test(rollout_order_arrival, a_holder_that_stops_right_after_an_answer_is_waited_for) {
     ferryroad::test::loopback loop;
     single_row_table table;
-    leader first(loop, table, 1, slow_way);
+    holder_router first(loop, table, 1, connection_delay);
     run_until(loop, [&] { return !first.upstream.answered.empty(); });
     first.stop();
-    leader second(loop, table, 2, 0ms);
-    const base::duration between = turn_between(loop, first, second);
-    cr_assert(between >= turn, "%ld ms", milliseconds(between));
+    holder_router second(loop, table, 2, 0ms);
+    const base::duration between = gap_between(loop, first, second);
+    cr_assert(between >= handover_gap, "%ld ms", milliseconds(between));
 }
--- a/test/relay/rollout_service_test.cpp
+++ b/test/relay/rollout_service_test.cpp
@@ -1,4 +1,4 @@
-/// Orders go out only under the lease, with its token, and only after it was said.
+/// Orders are sent only under the lease, with its fencing token, and after they were announced.
 #include "ferryroad/relay/rollout_service.hpp"
 
 #include "test/relay/fake_upstream.hpp"
@@ -32,12 +32,12 @@
     rollout_service<fake_upstream, fake_lease> service{
         {loop.scheduler, upstream, registry, policies, lease,
          [this](const rollout_news& told) {
-             orders_when_told.push_back(upstream.orders.size());
+             orders_at_announcement.push_back(upstream.orders.size());
              news.push_back(told);
          }},
         settings()};
     std::vector<rollout_news> news;
-    std::vector<std::size_t> orders_when_told;
+    std::vector<std::size_t> orders_at_announcement;
 
     fixture() {
         for (const char* name : {"e1", "e2", "e3"}) {
@@ -52,12 +52,12 @@
     static rollout_settings settings() {
         rollout_settings all;
         all.holder = "router-1";
-        all.period = 2ms;
+        all.step_interval = 2ms;
         all.rollout.first_look = 2ms;
         all.rollout.look_period = 2ms;
         return all;
     }
-    /// Waits for something that is to happen, however slow the machine is.
+    /// Runs until the condition holds, so that the test does not depend on the machine's speed.
     void run_until(std::function<bool()> condition) {
         loop.context.restart();
         cr_assert(loop.run([&] { return loop.until(condition); }));
@@ -78,7 +78,7 @@
     cr_assert(at.upstream.orders.empty());
 }
 
-Test(rollout_service, the_first_holder_brings_all_engines_to_the_newest_weights) {
+Test(rollout_service, the_first_holder_orders_all_engines_to_load_the_newest_weights) {
     fixture at;
     at.lease.current = base::fencing_token(1);
     at.service.start();
@@ -95,7 +95,7 @@
     cr_assert_eq(at.registry.find(base::engine_name("e2"))->version_of("m"), 2);
 }
 
-Test(rollout_service, means_to_act_only_while_there_is_something_to_do) {
+Test(rollout_service, announces_actions_only_while_there_is_something_to_do) {
     fixture at;
     at.lease.current = base::fencing_token(1);
     at.service.start();
@@ -105,10 +105,10 @@
     at.run_for(20ms);
     cr_assert_eq(at.upstream.orders.size(), 6);
     cr_assert_not(at.lease.acting);
-    cr_assert_eq(at.lease.acts_out, 0, "each order that began has ended");
+    cr_assert_eq(at.lease.acts_out, 0, "each action that was begun must be ended");
 }
 
-Test(rollout_service, others_are_told_before_an_engine_is_ordered_and_when_it_has_loaded) {
+Test(rollout_service, loads_are_announced_before_the_order_and_when_they_end) {
     fixture at;
     at.lease.current = base::fencing_token(1);
     at.service.start();
@@ -120,9 +120,10 @@
         return count;
     };
     at.run_until([&] { return loaded() == 3; });
-    cr_assert_eq(at.orders_when_told.front(), 0, "before the first order");
+    cr_assert_eq(at.orders_at_announcement.front(), 0,
+                 "loads must be announced before the first order");
     const peer::loading_weights& first = at.news.front().loading.front();
     cr_assert(first.model == "m" && first.version == 2 && first.ready_in > 0ms);
     at.run_for(20ms);
-    cr_assert_eq(loaded(), 3, "each once");
+    cr_assert_eq(loaded(), 3, "each load must be announced once");
 }
--- a/test/relay/shared_feed_test.cpp
+++ b/test/relay/shared_feed_test.cpp
@@ -1,4 +1,4 @@
-/// Routers take tables from the owner or from each other, and know how current they are.
+/// Routers read tables from the owner or from each other, and know how current their copies are.
 #include "ferryroad/relay/shared_feed.hpp"
 
 #include "ferryroad/base/random.hpp"
@@ -19,7 +19,7 @@
 
 const std::string table_name = "t";
 
-/// The owner's table, and what each router may do there.
+/// The owner's table.
 struct owner {
     coordination::reading::table_mirror rows;
     std::uint64_t version = 0;
@@ -29,15 +29,15 @@
     }
 };
 
-/// One router's way to the owner.
+/// The owner as one router reaches it; calls can be made to fail.
 struct owner_feed {
     using answer = runtime::result<record_batch, feed_fault>;
     runtime::scheduler& scheduler;
     owner& source;
-    bool turned_away = false;
+    bool refuses_calls = false;
     bool loses_held_answers = false;
     int calls = 0;
-    int whole_calls = 0;  ///< Of these.
+    int whole_calls = 0;  ///< Calls among them that read the whole table.
     std::vector<base::duration> waits;
 
     runtime::task<answer> read_all(std::string, base::duration) {
@@ -59,7 +59,7 @@
     runtime::task<answer> read(std::function<std::vector<record>()> rows) {
         ++calls;
         co_await scheduler.sleep_for(1ms);
-        if (turned_away) {
+        if (refuses_calls) {
             co_return feed_fault::unavailable;
         }
         record_batch batch;
@@ -70,7 +70,7 @@
     }
 };
 
-/// Carries calls between the routers of a test.
+/// Network that carries calls between the routers of a test and may alter answers.
 struct network {
     std::map<base::endpoint, peer::transport::call_handler> handlers;
     std::map<base::endpoint, std::function<peer::message_bytes(peer::message_bytes)>> tampered;
@@ -113,14 +113,14 @@
 
 shared_feed_settings quick() {
     shared_feed_settings settings;
-    settings.hold = 20ms;
-    settings.least_hold = 5ms;
+    settings.max_hold = 20ms;
+    settings.min_hold = 5ms;
     settings.call_margin = 20ms;
     settings.retry_pause = 1ms;
-    settings.routers_wait = 300ms;
-    settings.routers_settle = 5ms;
-    settings.routers_look = 1ms;
-    settings.contacts_settle = 20ms;
+    settings.routers_timeout = 300ms;
+    settings.routers_settle_time = 5ms;
+    settings.poll_interval = 1ms;
+    settings.contacts_settle_time = 20ms;
     settings.old_copy_pause = 2ms;
     settings.sources.oldest_copy = 100ms;
     settings.sources.old_copy_pause = 20ms;
@@ -234,7 +234,8 @@
 
 const std::size_t relayed_bytes = table_server_settings().relayed_bytes;
 
-/// Text that no packing shortens; rows mean the same while the first character stays.
+/// @return text that packing does not shorten. It begins with 2, as rows with the same first
+/// character count as equivalent in these tests.
 std::string unpackable(std::size_t size) {
     base::seeded_random random(3);
     std::string text = "2";
@@ -244,7 +245,7 @@
     return text;
 }
 
-/// Waits until the fleet has settled: two read the owner, the others read them.
+/// Runs until all routers have a copy and exactly two of them read the owner.
 bool settle(fleet& all) {
     return all.run_until([&] {
         std::size_t readers = 0;
@@ -257,7 +258,7 @@
     });
 }
 
-/// The first answer is not held, as nothing is known yet.
+/// Reads changes twice. The owner does not hold the first call, as there is no copy yet.
 runtime::task<void> ask_twice(router& one, bool& answered) {
     co_await one.feed.read_changes(table_name, 0, 5ms, 50ms);
     const auto batch = co_await one.feed.read_changes(table_name, 0, 5ms, 50ms);
@@ -266,7 +267,7 @@
 
 }  // namespace
 
-Test(shared_feed, a_change_reaches_all_and_few_ask_the_owner) {
+Test(shared_feed, a_change_reaches_all_routers_and_few_read_the_owner) {
     fleet all(6);
     all.start();
     cr_assert(settle(all));
@@ -277,7 +278,7 @@
     cr_assert_eq(other.direct.calls, before);
 }
 
-Test(shared_feed, what_means_nothing_new_is_not_told) {
+Test(shared_feed, equivalent_rows_are_not_passed_on) {
     fleet all(4);
     all.start();
     cr_assert(settle(all));
@@ -289,7 +290,7 @@
     cr_assert_eq(other.changes, before);
 }
 
-Test(shared_feed, a_router_whose_source_ended_takes_another) {
+Test(shared_feed, a_router_whose_source_ended_turns_to_another) {
     fleet all(5);
     all.start();
     cr_assert(settle(all));
@@ -307,34 +308,34 @@
     }));
 }
 
-Test(shared_feed, a_router_that_the_owner_turns_away_stays_current) {
+Test(shared_feed, a_router_that_the_owner_refuses_stays_current) {
     fleet all(5);
     all.start();
     cr_assert(settle(all));
     router& reader = all.reader();
-    reader.direct.turned_away = true;
+    reader.direct.refuses_calls = true;
     all.source.put("b", "2");
     cr_assert(all.run_until([&] { return reader.copy["b"] == "2"; }));
     cr_assert(all.run_until([&] { return all.all_have("b", "2"); }));
 }
 
-Test(shared_feed, a_copy_is_never_believed_younger_than_its_source) {
+Test(shared_feed, a_copy_is_never_considered_younger_than_its_source) {
     fleet all(4);
     all.start();
     cr_assert(settle(all));
     for (const auto& one : all.routers) {
-        one->direct.turned_away = true;
+        one->direct.refuses_calls = true;
     }
-    const base::monotonic_time away_since = all.loop.scheduler.now();
+    const base::monotonic_time refusing_since = all.loop.scheduler.now();
     router& other = all.other();
     const std::uint64_t before = other.feed.peer_calls();
     cr_assert(all.run_until([&] { return other.feed.peer_calls() > before + 20; }));
     for (const auto& one : all.routers) {
-        cr_assert(one->last->as_of <= away_since);
+        cr_assert(one->last->as_of <= refusing_since);
     }
 }
 
-Test(shared_feed, a_source_that_claims_to_come_from_the_future_is_not_believed) {
+Test(shared_feed, confirmations_from_the_future_are_not_trusted) {
     fleet all(4);
     all.start();
     cr_assert(settle(all));
@@ -351,7 +352,7 @@
     cr_assert(other.last->as_of <= all.loop.scheduler.now());
 }
 
-Test(shared_feed, a_source_that_answers_nonsense_is_left) {
+Test(shared_feed, a_source_with_malformed_answers_is_replaced) {
     fleet all(4);
     all.start();
     cr_assert(settle(all));
@@ -364,7 +365,7 @@
     cr_assert(all.run_until([&] { return all.all_have("b", "2"); }));
 }
 
-Test(shared_feed, a_router_that_ends_sends_its_readers_away) {
+Test(shared_feed, a_stopping_router_redirects_its_readers) {
     fleet all(4);
     all.start();
     cr_assert(settle(all));
@@ -382,7 +383,7 @@
     }));
 }
 
-Test(shared_feed, a_held_answer_that_is_lost_is_made_good_at_once) {
+Test(shared_feed, a_lost_answer_to_a_held_call_is_requested_again_at_once) {
     ferryroad::test::loopback loop;
     network net;
     owner source;
@@ -395,7 +396,7 @@
     cr_assert(alone.direct.waits == (std::vector<base::duration>{0ms, 5ms, 0ms}));
 }
 
-Test(shared_feed, changes_are_asked_for_once_the_other_routers_are_known) {
+Test(shared_feed, changes_are_read_once_the_other_routers_are_known) {
     ferryroad::test::loopback loop;
     network net;
     owner source;
@@ -412,14 +413,15 @@
     cr_assert(loop.run([&] { return loop.until([&] { return late.last.has_value(); }); }));
     loop.context.restart();
     cr_assert(loop.run([&] { return loop.until([&] { return one.direct.calls > 6; }); }));
-    cr_assert_eq(late.direct.calls, 1);  // The whole table, at once.
+    // The whole table, without waiting for the list of routers.
+    cr_assert_eq(late.direct.calls, 1);
     late.feed.set_routers(all);
     source.put("b", "2");
     loop.context.restart();
     cr_assert(loop.run([&] { return loop.until([&] { return late.copy["b"] == "2"; }); }));
 }
 
-Test(shared_feed, where_nobody_tells_of_other_routers_the_owner_serves) {
+Test(shared_feed, changes_come_from_the_owner_without_a_list_of_routers) {
     ferryroad::test::loopback loop;
     network net;
     owner source;
@@ -432,7 +434,7 @@
     cr_assert(loop.run([&] { return loop.until([&] { return alone.copy["b"] == "2"; }); }));
 }
 
-Test(shared_feed, what_is_large_is_read_from_the_owner_and_not_passed_on) {
+Test(shared_feed, large_changes_are_read_from_the_owner_and_not_passed_on) {
     fleet all(6);
     all.start();
     cr_assert(settle(all));
@@ -452,12 +454,12 @@
     cr_assert_lt(largest, relayed_bytes);
 }
 
-Test(shared_feed, what_is_large_is_passed_on_to_a_router_that_the_owner_turns_away) {
+Test(shared_feed, large_changes_are_passed_on_to_a_router_that_the_owner_refuses) {
     fleet all(5);
     all.start();
     cr_assert(settle(all));
     router& other = all.other();
-    other.direct.turned_away = true;
+    other.direct.refuses_calls = true;
     const std::string large = unpackable(2 * relayed_bytes);
     all.source.put("b", large);
     cr_assert(all.run_until([&] { return all.all_have("b", large); }));
@@ -465,7 +467,7 @@
 
 namespace {
 
-/// Contacts as the routers' table tells them: those whose rows are there, the first few by name.
+/// Finds contacts as the routers' table would give them: the first `count` existing routers.
 contact_search contacts_among(std::vector<std::unique_ptr<router>>& routers, std::size_t self,
                               std::size_t count) {
     return [&routers, self, count]() -> runtime::task<start_contacts> {
@@ -480,8 +482,8 @@
     };
 }
 
-/// @return whole readings of the owner's table by routers that all start together.
-int owner_readings_of_a_start(std::uint16_t size) {
+/// @return how often routers that all start together read the whole table from the owner.
+int whole_reads_of_a_joint_start(std::uint16_t size) {
     ferryroad::test::loopback loop;
     network net;
     owner source;
@@ -493,7 +495,7 @@
         routers[index]->feed.find_contacts_by(contacts_among(routers, index, 4));
     }
     source.put("a", "1");
-    int readings = 0;
+    int whole_reads = 0;
     for (const auto& one : routers) {
         one->follower.start();
     }
@@ -503,16 +505,16 @@
     };
     cr_assert(loop.run([&] { return loop.until(all_have_it); }));
     for (const auto& one : routers) {
-        readings += one->direct.whole_calls;
+        whole_reads += one->direct.whole_calls;
     }
-    return readings;
+    return whole_reads;
 }
 
 }  // namespace
 
-Test(shared_feed, whole_copies_of_routers_that_start_together_come_from_one_of_them) {
-    const int few = owner_readings_of_a_start(20);
-    const int many = owner_readings_of_a_start(60);
+Test(shared_feed, routers_that_start_together_share_one_first_copy) {
+    const int few = whole_reads_of_a_joint_start(20);
+    const int many = whole_reads_of_a_joint_start(60);
     cr_assert_leq(few, 2);
     cr_assert_leq(many, 2);
 }
--- a/test/relay/simulated_release.hpp
+++ b/test/relay/simulated_release.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Scaffolding: several routers under virtual time with one pool, a table that can be down, and
-/// requests whose answers a test makes good, bad or slow by the engine's software.
+/// Simulation of several routers with one pool under virtual time. The table can be made
+/// unavailable, and tests decide by the engine's software whether answers are good, failed or slow.
 #pragma once
 
 #include "bench/simulation/virtual_scheduler.hpp"
@@ -27,7 +27,7 @@
 inline const base::pool_name the_pool("p");
 inline const base::route_name the_route("r");
 
-/// Rows under conditions, for all routers.
+/// Table rows with conditional writes, shared by all routers.
 struct shared_rows {
     base::duration call_time = std::chrono::milliseconds(4);
     std::map<std::string, platform::row> rows;
@@ -36,7 +36,7 @@
     std::size_t calls = 0;
 };
 
-/// One router's way to the rows.
+/// The table as one router reaches it.
 class rows_access final : public platform::table {
   public:
     rows_access(shared_rows& shared, runtime::scheduler& scheduler)
@@ -101,7 +101,7 @@
     runtime::scheduler& m_scheduler;
 };
 
-/// One process. It knows the list of engines at once, as tests put it.
+/// One process of a router. It gets the list of engines from the test without delay.
 struct release_router {
     release_router(virtual_time& time, fake_network& routers, shared_rows& shared,
                    std::vector<release::tell_status>& statuses, std::size_t index,
@@ -118,7 +118,7 @@
                        return tell(statuses, std::move(wanted));
                    }},
                   self.name) {
-        // The table's clock is the run's, the router's begins with its process.
+        // The table's clock is that of the simulation; the router's starts with its process.
         const auto shown =
             std::chrono::milliseconds(1000 + base::to_milliseconds(time.now().time_since_epoch()));
         clock.observe(scheduler.now(), scheduler.now(), shown);
@@ -132,7 +132,7 @@
         scheduler.kill();
     }
 
-    /// Datagrams take a millisecond.
+    /// Receives datagrams, each after 1 ms.
     void connect() {
         transport.on_datagram([this](const base::endpoint& from, std::string_view bytes) {
             virtual_time& time = scheduler.time();
@@ -140,7 +140,7 @@
                     [this, from, told = std::string(bytes)] { service.take(from, told); });
         });
     }
-    /// Nothing comes in, and nothing reaches the table: no answer to what goes out.
+    /// Isolates the router: it gets no datagrams, and its calls to the table fail.
     void cut_off() {
         network.handlers.erase(self.address);
         table.cut = true;
@@ -167,13 +167,13 @@
     release_service service;
 };
 
-/// What an engine makes of a request.
+/// An engine's answer to a request.
 struct made_answer {
     bool failed = false;
     base::duration taken = std::chrono::milliseconds(20);
 };
 
-/// A request as it was sent.
+/// A request that a router sent to an engine.
 struct sent_request {
     base::monotonic_time at{};
     std::size_t router = 0;
@@ -200,7 +200,7 @@
         list(index);
     }
     void kill(std::size_t index) { routers[index].reset(); }
-    /// All learn who is there.
+    /// Gives all routers the list of running routers.
     void declare() {
         std::vector<peer_address> present;
         for (const auto& one : routers) {
@@ -214,7 +214,7 @@
             }
         }
     }
-    /// Adds engines, as the list shows them to all.
+    /// Adds engines to the list that all routers get.
     void add_engines(const std::string& software, std::size_t count) {
         for (std::size_t index = 0; index < count; ++index) {
             listed_engine one;
@@ -239,7 +239,7 @@
             }
         }
     }
-    /// Traffic goes on at all routers.
+    /// Runs the simulation with traffic at all routers.
     void run_for(base::duration span) {
         constexpr base::duration step = std::chrono::milliseconds(20);
         const base::monotonic_time end = time.now() + span;
@@ -253,7 +253,7 @@
             }
         }
     }
-    /// @return whether all that live were told of the phase within the span.
+    /// @return whether all running routers knew the phase within the span.
     bool run_until_all_know(release::release_phase phase, base::duration span) {
         const base::monotonic_time end = time.now() + span;
         while (!all_know(phase) && time.now() < end) {
@@ -266,7 +266,8 @@
             return !one || one->service.traffic().gate().phase_of(the_pool) == phase;
         });
     }
-    /// @return requests to the software from a moment on, of one router or of all.
+    /// @return the number of requests sent to engines with the software since `from`, by one router
+    /// or by all.
     std::size_t sent_to(const std::string& software, base::monotonic_time from = {},
                         std::optional<std::size_t> router = std::nullopt) const {
         return static_cast<std::size_t>(
@@ -280,7 +281,7 @@
             std::count_if(requests.begin(), requests.end(),
                           [&](const sent_request& one) { return one.at >= ordered_at; }));
     }
-    /// @return the router that coordinates, and is asked last where several did.
+    /// @return the index of the coordinating router, the highest one where there are several.
     std::size_t coordinator() const {
         std::size_t found = routers.size();
         for (std::size_t index = 0; index < routers.size(); ++index) {
@@ -291,7 +292,7 @@
         cr_assert_lt(found, routers.size());
         return found;
     }
-    /// @return the record as it stands, or a blank one.
+    /// @return the stored record, or an empty one.
     release::release_record record() const {
         const auto found = rows.rows.find("release/" + the_pool.value);
         const auto read = found == rows.rows.end()
@@ -308,7 +309,7 @@
     std::vector<sent_request> requests;
     std::size_t unserved = 0;
     base::monotonic_time ordered_at{};
-    /// Of an engine's software, at the nth request.
+    /// Makes the answer of an engine with the given software to the nth request.
     std::function<made_answer(const std::string&, std::size_t)> engine =
         [](const std::string&, std::size_t) { return made_answer{}; };
 
