--- a/src/ferryroad/relay/crash_exchange.cpp
+++ b/src/ferryroad/relay/crash_exchange.cpp
@@ -47,26 +47,26 @@
 
 runtime::task<void> crash_exchange::send_crash(engine_crash crash) {
     for (std::uint32_t sent = 0; sent < m_settings.send_count; ++sent) {
-        peer::crash_news news;
-        news.sender = m_self;
-        news.crashes = {to_message(crash)};
-        send_to_all(news);
+        peer::crash_news report;
+        report.sender = m_self;
+        report.crashes = {to_message(crash)};
+        send_to_all(report);
         co_await m_ports.scheduler.sleep_for((sent + 1) * m_settings.resend_delay);
     }
 }
 
 runtime::task<void> crash_exchange::send_cleared(request_identity request) {
     for (std::uint32_t sent = 0; sent < m_settings.send_count; ++sent) {
-        peer::crash_news news;
-        news.sender = m_self;
-        news.cleared = {request};
-        send_to_all(news);
+        peer::crash_news report;
+        report.sender = m_self;
+        report.cleared = {request};
+        send_to_all(report);
         co_await m_ports.scheduler.sleep_for((sent + 1) * m_settings.resend_delay);
     }
 }
 
-void crash_exchange::send_to_all(const peer::crash_news& news) {
-    const peer::message_bytes bytes = peer::encode(news);
+void crash_exchange::send_to_all(const peer::crash_news& report) {
+    const peer::message_bytes bytes = peer::encode(report);
     for (const peer_address& router : m_routers) {
         if (router.name != m_self) {
             m_ports.transport.send(router.address, bytes);
@@ -77,24 +77,24 @@
 // ---- Receiving ----
 
 void crash_exchange::take(const base::endpoint& from, std::string_view bytes) {
-    const auto news = peer::decode_crash_news(bytes);
-    if (!news) {
+    const auto report = peer::decode_crash_news(bytes);
+    if (!report) {
         ++m_malformed;
         return;
     }
     const base::monotonic_time now = m_ports.scheduler.now();
     peer::crash_news answer;
     answer.sender = m_self;
-    for (const peer::told_crash& one : news->crashes) {
+    for (const peer::told_crash& one : report->crashes) {
         const engine_crash crash{one.engine, now - one.age, now - one.began_age, one.candidates,
                                  one.unnamed};
         for (const request_identity& cleared_request :
-             m_ports.quarantine.learn(crash, news->sender.value)) {
+             m_ports.quarantine.learn(crash, report->sender.value)) {
             answer.cleared.push_back(cleared_request);
         }
     }
-    for (const request_identity& one : news->cleared) {
-        learn_cleared(one, news->sender.value);
+    for (const request_identity& one : report->cleared) {
+        learn_cleared(one, report->sender.value);
     }
     if (!answer.cleared.empty()) {
         answer.cleared.resize(std::min(answer.cleared.size(), peer::requests_of_crash_datagram));
@@ -126,20 +126,20 @@
 }
 
 void crash_exchange::learn_row(const std::string& value) {
-    const auto news = peer::decode_crash_news(value);
-    if (!news) {
+    const auto report = peer::decode_crash_news(value);
+    if (!report) {
         ++m_malformed;
         runtime::log(runtime::log_level::warning, component, "crash row ignored: cannot be decoded",
-                     {{"error", news.error().message}});
+                     {{"error", report.error().message}});
         return;
     }
     const base::monotonic_time written =
-        m_ports.clock.to_local_latest(static_cast<std::int64_t>(news->owner_time));
-    for (const peer::told_crash& one : news->crashes) {
+        m_ports.clock.to_local_latest(static_cast<std::int64_t>(report->owner_time));
+    for (const peer::told_crash& one : report->crashes) {
         const engine_crash crash{one.engine, written - one.age, written - one.began_age,
                                  one.candidates, one.unnamed};
-        m_ports.quarantine.learn(crash, news->sender.value);
-        if (news->sender == m_self) {
+        m_ports.quarantine.learn(crash, report->sender.value);
+        if (report->sender == m_self) {
             add_own(crash);  // From the previous process of this router.
         }
     }
@@ -185,16 +185,16 @@
             continue;
         }
         m_row_changed = false;
-        peer::crash_news news;
-        news.sender = m_self;
-        news.owner_time =
+        peer::crash_news report;
+        report.sender = m_self;
+        report.owner_time =
             static_cast<std::uint64_t>(m_ports.clock.to_owner(m_ports.scheduler.now()));
         for (const engine_crash& crash : m_own_crashes) {
-            news.crashes.push_back(to_message(crash));
+            report.crashes.push_back(to_message(crash));
         }
         platform::transaction change;
-        change.writes.push_back(
-            {platform::row_key(std::string(crash_key_prefix) + m_self.value), peer::encode(news)});
+        change.writes.push_back({platform::row_key(std::string(crash_key_prefix) + m_self.value),
+                                 peer::encode(report)});
         std::vector<platform::transaction> changes;
         changes.push_back(std::move(change));
         const auto written = co_await m_ports.table.transact(std::move(changes));
@@ -204,7 +204,7 @@
             m_row_changed = true;
             runtime::log(runtime::log_level::warning, component,
                          "crash row not written; will retry",
-                         {{"crashes", std::to_string(news.crashes.size())}});
+                         {{"crashes", std::to_string(report.crashes.size())}});
         }
     }
     m_writing_row = false;
--- a/src/ferryroad/relay/crash_exchange.hpp
+++ b/src/ferryroad/relay/crash_exchange.hpp
@@ -64,7 +64,8 @@
 
     /// Sets the routers to send to. This router may be among them; it is skipped.
     void set_routers(const std::vector<peer_address>& present) { m_routers = present; }
-    /// Handles a datagram whose header says that it is crash news; counts it where it is malformed.
+    /// Handles a datagram whose header identifies it as a crash message; counts it where it is
+    /// malformed.
     void take(const base::endpoint& from, std::string_view bytes);
     /// Stores the value of a row until `rows_confirmed` is called while the clock of the table's
     /// owner is known.
@@ -90,7 +91,7 @@
     peer::told_crash to_message(const core::quarantine::engine_crash& crash) const;
     runtime::task<void> send_crash(core::quarantine::engine_crash crash);
     runtime::task<void> send_cleared(core::quarantine::request_identity request);
-    void send_to_all(const peer::crash_news& news);
+    void send_to_all(const peer::crash_news& report);
     void schedule_row_write();
     runtime::task<void> write_row();
 
--- a/src/ferryroad/relay/gathered_reports.cpp
+++ b/src/ferryroad/relay/gathered_reports.cpp
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-void gathered_reports::take(const peer::release_report& report) {
+void gathered_reports::add(const peer::release_report& report) {
     auto& reported = m_last_reported[{report.sender, report.sender_incarnation}];
     for (const auto& [route, counted] : report.counts) {
         compared_counts& before = reported[route];
--- a/src/ferryroad/relay/gathered_reports.hpp
+++ b/src/ferryroad/relay/gathered_reports.hpp
@@ -17,7 +17,7 @@
   public:
     /// Adds a report. Counts of a process are cumulative; a report that arrives after a later one
     /// of the same process changes nothing.
-    void take(const peer::release_report& report);
+    void add(const peer::release_report& report);
     /// @return the counts of all routers.
     const core::canary::counts_by_route& sum() const { return m_sum; }
 
--- a/src/ferryroad/relay/peer_exchange.cpp
+++ b/src/ferryroad/relay/peer_exchange.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-peer_exchange::peer_exchange(exchange_ports ports, const peer_address& self,
+peer_exchange::peer_exchange(peer_exchange_ports ports, const peer_address& self,
                              std::function<void(const peer::holder_changes&)> on_changes,
                              exchange_settings settings)
     : m_ports(ports),
@@ -67,7 +67,7 @@
     }
 }
 
-void peer_exchange::announce(const rollout_news& news) {
+void peer_exchange::announce(const rollout_news& announcement) {
     if (!m_running) {
         return;
     }
@@ -80,11 +80,11 @@
             notice.weights.clear();
         }
     };
-    for (const peer::loading_weights& one : news.loading) {
+    for (const peer::loading_weights& one : announcement.loading) {
         notice.loading.push_back(one);
         send_if_full(m_settings.max_weights);
     }
-    for (const peer::seen_weights& one : news.loaded) {
+    for (const peer::seen_weights& one : announcement.loaded) {
         notice.weights.push_back(one);
         send_if_full(m_settings.max_weights);
     }
@@ -223,7 +223,7 @@
         return;
     }
     const base::monotonic_time now = m_ports.scheduler.now();
-    m_group.heard({notice->sender, notice->zone, from}, now);
+    m_group.record_notice({notice->sender, notice->zone, from}, now);
     if (notice->loads_complete) {
         m_ports.loads.state(notice->sender, notice->loads, now);
     }
--- a/src/ferryroad/relay/peer_exchange.hpp
+++ b/src/ferryroad/relay/peer_exchange.hpp
@@ -54,7 +54,7 @@
 };
 
 /// Collaborators of `peer_exchange`; all of them must outlive it.
-struct exchange_ports {
+struct peer_exchange_ports {
     runtime::scheduler& scheduler;
     peer::transport& transport;
     engine_registry& registry;
@@ -66,7 +66,7 @@
 class peer_exchange {
   public:
     /// @param on_changes called with the changes of holders that other routers follow.
-    peer_exchange(exchange_ports ports, const peer_address& self,
+    peer_exchange(peer_exchange_ports ports, const peer_address& self,
                   std::function<void(const peer::holder_changes&)> on_changes,
                   exchange_settings settings = {});
 
@@ -80,7 +80,7 @@
     /// Sends no further notices.
     void stop() { m_running = false; }
 
-    /// Handles a datagram whose header says that it is a notice; counts it where it is malformed.
+    /// Handles a datagram whose header identifies it as a notice; counts it where it is malformed.
     void take(const base::endpoint& from, std::string_view bytes);
 
     /// Sets the complete list of routers that are present.
@@ -99,9 +99,9 @@
                     std::uint64_t prefill_tokens);
     /// Records that an engine reported newer weights, for the next notice.
     void saw_weights(peer::seen_weights weights);
-    /// Sends the rollout's news to the routers of all blocks without delay, because an engine
+    /// Sends an announcement of the rollout to the routers of all blocks without delay: an engine
     /// refuses requests while it loads weights.
-    void announce(const rollout_news& news);
+    void announce(const rollout_news& announcement);
     /// Queues changes of a holder that this router follows for the next notice.
     void tell(peer::holder_changes changes);
 
@@ -131,7 +131,7 @@
     peer::traffic_notice new_notice() const;
     std::vector<core::placement::stated_load> own_loads(base::monotonic_time now) const;
 
-    exchange_ports m_ports;
+    peer_exchange_ports m_ports;
     peer_address m_self;
     peer_group m_group;
     std::function<void(const peer::holder_changes&)> m_on_changes;
--- a/src/ferryroad/relay/peer_group.cpp
+++ b/src/ferryroad/relay/peer_group.cpp
@@ -53,7 +53,7 @@
     });
 }
 
-void peer_group::heard(const peer_address& peer, base::monotonic_time now) {
+void peer_group::record_notice(const peer_address& peer, base::monotonic_time now) {
     if (peer.name == m_self.name) {
         return;
     }
--- a/src/ferryroad/relay/peer_group.hpp
+++ b/src/ferryroad/relay/peer_group.hpp
@@ -71,7 +71,7 @@
     /// them.
     void declare(const std::vector<peer_address>& present, base::monotonic_time now = {});
     /// Records that a notice arrived from a router.
-    void heard(const peer_address& peer, base::monotonic_time now);
+    void record_notice(const peer_address& peer, base::monotonic_time now);
 
     /// @return the number of routers in this router's block, itself included.
     std::size_t block_size(base::monotonic_time now) const { return block(now).size() + 1; }
--- a/src/ferryroad/relay/quota_datagrams.cpp
+++ b/src/ferryroad/relay/quota_datagrams.cpp
@@ -35,7 +35,7 @@
         }
         co_return m_verdict;
     }
-    void take(const quota_verdict& verdict) {
+    void resolve(const quota_verdict& verdict) {
         m_verdict = verdict;
         m_timer.cancel();
     }
@@ -102,7 +102,7 @@
     }
     const auto pending = m_pending.find(grant->number);
     if (pending != m_pending.end() && pending->second->home() == message->sender) {
-        pending->second->take(grant->verdict);
+        pending->second->resolve(grant->verdict);
     }
 }
 
--- a/src/ferryroad/relay/release_service.cpp
+++ b/src/ferryroad/relay/release_service.cpp
@@ -278,7 +278,7 @@
     one.coordinator.reported(
         {report.sender, report.order, report.phase, report.saw_bad, report.unrepeatable}, now);
     if (report.order == order->number) {
-        one.evidence.take(report);
+        one.evidence.add(report);
     }
     return peer::release_notice{
         m_self,       report.pool, order->number, one.coordinator.notice(), one.coordinator.done(),
--- a/src/ferryroad/relay/release_service.hpp
+++ b/src/ferryroad/relay/release_service.hpp
@@ -87,7 +87,7 @@
     void confirmed(base::monotonic_time as_of) { m_traffic.confirmed(as_of); }
     /// To be called when the list of engines has changed.
     void engines_changed() { m_traffic.engines_changed(m_ports.scheduler.now()); }
-    /// Handles a datagram whose header says that it is a release report or notice; counts it where
+    /// Handles a datagram whose header identifies it as a release report or notice; counts it where
     /// it is malformed.
     void take(const base::endpoint& from, std::string_view bytes);
 
--- a/src/ferryroad/relay/rollout_lease.cpp
+++ b/src/ferryroad/relay/rollout_lease.cpp
@@ -31,7 +31,7 @@
       m_name(std::move(name)),
       m_handover_gap(handover_gap) {}
 
-void rollout_lease::intend(bool acting) {
+void rollout_lease::set_intent(bool acting) {
     track_holder_change();
     if (!m_last_token || m_finished) {
         return;
@@ -51,7 +51,7 @@
     }
 }
 
-void rollout_lease::act_ended() {
+void rollout_lease::end_action() {
     --m_actions_in_flight;
     m_last_action = m_scheduler.now();
 }
--- a/src/ferryroad/relay/rollout_lease.hpp
+++ b/src/ferryroad/relay/rollout_lease.hpp
@@ -42,7 +42,7 @@
 
     /// Updates the note in the lease. To be called often.
     /// @param acting whether there is something to do.
-    void intend(bool acting);
+    void set_intent(bool acting);
     /// Ends this router's actions for good and writes the time of the last one into the lease. To
     /// be called on a planned stop, before the lease is released.
     void finish();
@@ -50,12 +50,12 @@
     /// @return the fencing token that the action must carry, or nothing where this router may not
     /// act now.
     std::optional<base::fencing_token> token();
-    /// Records that an action is sent. It may reach its engine at any time until `act_ended`, which
-    /// must be called once for it.
-    void act_begins() { ++m_actions_in_flight; }
+    /// Records that an action is sent. It may reach its engine at any time until `end_action`,
+    /// which must be called once for it.
+    void begin_action() { ++m_actions_in_flight; }
     /// Records that an action was answered or timed out: if it ever reaches its engine, it has done
     /// so.
-    void act_ended();
+    void end_action();
     /// @return whether this router holds the lease, acting or not.
     bool held() const { return m_leases.token(m_name).has_value(); }
 
--- a/src/ferryroad/relay/rollout_service.hpp
+++ b/src/ferryroad/relay/rollout_service.hpp
@@ -22,16 +22,16 @@
 namespace ferryroad::relay {
 
 /// The lease as the service needs it. `token` is called immediately before each action and returns
-/// nothing where this process may not act. `intend` states whether there is something to do, `held`
-/// whether actions may follow after that. `act_begins` is called when an action is sent,
-/// `act_ended` when it was answered or timed out.
+/// nothing where this process may not act. `set_intent` states whether there is something to do,
+/// `held` whether actions may follow after that. `begin_action` is called when an action is sent,
+/// `end_action` when it was answered or timed out.
 template <typename T>
 concept fenced_lease = requires(T& lease, bool acting) {
     { lease.token() } -> std::same_as<std::optional<base::fencing_token>>;
     { lease.held() } -> std::same_as<bool>;
-    lease.intend(acting);
-    lease.act_begins();
-    lease.act_ended();
+    lease.set_intent(acting);
+    lease.begin_action();
+    lease.end_action();
 };
 
 struct rollout_settings {
@@ -99,7 +99,7 @@
                 continue;
             }
             const auto engines = views();
-            m_ports.lease.intend(m_rollout.has_work(engines));
+            m_ports.lease.set_intent(m_rollout.has_work(engines));
             step(engines);
             send_announcements();
         }
@@ -207,13 +207,13 @@
             co_return;
         }
         ++m_orders_sent;
-        m_ports.lease.act_begins();
+        m_ports.lease.begin_action();
         engine_target engine = *target;
         weights_order sent{wanted.model,       wanted.version,    wanted.expected_orders,
                            m_settings.running, m_settings.holder, *token};
         const auto answer = co_await m_ports.engines.order(std::move(engine), std::move(sent),
                                                            m_settings.call_timeout);
-        m_ports.lease.act_ended();
+        m_ports.lease.end_action();
         runtime::log(runtime::log_level::info, component, "weights ordered",
                      {{"engine", wanted.engine.value},
                       {"model", wanted.model},
--- a/src/ferryroad/relay/shared_feed.hpp
+++ b/src/ferryroad/relay/shared_feed.hpp
@@ -33,7 +33,7 @@
 struct table_terms {
     /// Least interval between the starts of two reads from the owner. Other routers pass changes on
     /// without such an interval.
-    base::duration owner_pace{};
+    base::duration min_owner_interval{};
     /// A copy that is older is behind: its router turns to another source and, soon after, to the
     /// owner.
     base::duration oldest = coordination::reading::selector_settings().oldest_copy;
@@ -140,10 +140,10 @@
     }
 
     /// Sets the requirements on a table's copy, from the next read on.
-    void expect(const std::string& name, table_terms terms) {
+    void expect(const std::string& name, table_terms requirements) {
         table_state& table = state_of(name);
-        table.terms = terms;
-        table.sources.change_oldest(terms.oldest);
+        table.requirements = requirements;
+        table.sources.change_oldest(requirements.oldest);
     }
 
     /// @return whether this router currently reads the owner, for itself and for other routers.
@@ -189,10 +189,10 @@
     /// What this router knows about a table and its sources.
     struct table_state {
         coordination::reading::source_selector sources;
-        table_terms terms;
+        table_terms requirements;
         std::uint64_t version = 0;
         base::monotonic_time as_of{};
-        base::monotonic_time next_owner_read{};  ///< Earliest, by `owner_pace`.
+        base::monotonic_time next_owner_read{};  ///< Earliest, by `min_owner_interval`.
         /// Earliest time of a call to another router while the copy is behind.
         base::monotonic_time next_old_read{};
         std::optional<source> from;  ///< As last written to the log.
@@ -206,9 +206,9 @@
         coordination::reading::source_selector sources(member_of(m_self), m_settings.sources,
                                                        m_reach, m_scheduler.random());
         sources.declare(m_members);
-        table_terms terms;
-        terms.oldest = m_settings.sources.oldest_copy;
-        return m_tables.emplace(name, table_state{std::move(sources), terms}).first->second;
+        table_terms requirements;
+        requirements.oldest = m_settings.sources.oldest_copy;
+        return m_tables.emplace(name, table_state{std::move(sources), requirements}).first->second;
     }
 
     /// A call to another router, with its timeout.
@@ -351,8 +351,8 @@
         co_return source_lost(wanted, feed_fault::unavailable);
     }
 
-    /// Other routers can tell the changes after any version, so a router that reads changes from
-    /// them does not need the whole table again after a call without an answer.
+    /// Other routers can answer with the changes after any version, so a router that reads changes
+    /// from them does not need the whole table again after a call without an answer.
     static batch_result source_lost(const read_request& wanted, const batch_result& batch) {
         const bool can_continue = !wanted.whole && batch.error() == feed_fault::unavailable;
         return can_continue ? batch_result(feed_fault::no_source) : batch;
@@ -364,7 +364,7 @@
             co_await m_scheduler.sleep_until(table.next_owner_read);
         }
         base::monotonic_time asked_at = m_scheduler.now();
-        table.next_owner_read = asked_at + table.terms.owner_pace;
+        table.next_owner_read = asked_at + table.requirements.min_owner_interval;
         const bool owner_may_hold = asked_at - table.as_of < m_settings.max_age_for_wait;
         read_request held = wanted;
         held.wait = owner_may_hold ? wanted.wait : base::duration{};
@@ -445,7 +445,7 @@
         }
         // The request arrived no earlier than it was sent, so this is a lower bound.
         const base::monotonic_time as_of = std::min(sent_at + answer->confirmed_after, now);
-        if (now - as_of > table.terms.oldest) {
+        if (now - as_of > table.requirements.oldest) {
             ++m_reads_behind;
             log_unsuccessful({wanted.table, from, "too old", now - sent_at, limit, now - as_of});
         }
@@ -493,7 +493,7 @@
         return answer ? std::optional(std::move(*answer)) : std::nullopt;
     }
 
-    /// An answer from a copy that lags behind this router's own has no new rows; it only tells how
+    /// An answer from a copy that lags behind this router's own has no new rows; it only shows how
     /// current that copy is.
     batch_result batch_of(peer::table_answer answer, const read_request& wanted, table_state& table,
                           base::monotonic_time as_of, base::monotonic_time started_at) const {
@@ -516,7 +516,7 @@
     }
 
     static bool is_behind(const table_state& table, base::monotonic_time now) {
-        return now - table.as_of > table.terms.oldest;
+        return now - table.as_of > table.requirements.oldest;
     }
 
     /// Delays calls while the copy is behind. The first one is not delayed, as the source often has
@@ -534,7 +534,7 @@
     /// answer then ends about when the copy becomes too old, so that another source can be called
     /// in time. A router whose copy is behind allows no hold.
     base::duration hold_for(const table_state& table, base::monotonic_time now) const {
-        const base::duration left = table.as_of + table.terms.oldest - now;
+        const base::duration left = table.as_of + table.requirements.oldest - now;
         if (left < base::duration{}) {
             return {};
         }
--- a/src/ferryroad/relay/table_server.hpp
+++ b/src/ferryroad/relay/table_server.hpp
@@ -54,7 +54,7 @@
     /// To be called when the copy of a table has a new confirmation. Wakes the held calls.
     void news(const std::string& table);
     /// To be called when the owner has begun to send a large change of a table that is not in the
-    /// copy yet. Callers with held calls are told without delay, so that all routers read the
+    /// copy yet. Held calls are answered without delay, so that all routers read the
     /// change at the same time and not one after another.
     void large_news_at_owner(const std::string& table);
 
--- a/test/relay/gathered_reports_test.cpp
+++ b/test/relay/gathered_reports_test.cpp
@@ -25,10 +25,10 @@
 
 Test(gathered_reports, duplicated_and_reordered_reports_are_ignored) {
     gathered_reports gathered;
-    gathered.take(report("a", 1, 6));
-    gathered.take(report("a", 1, 8));
-    gathered.take(report("a", 1, 6));
-    gathered.take(report("a", 1, 8));
+    gathered.add(report("a", 1, 6));
+    gathered.add(report("a", 1, 8));
+    gathered.add(report("a", 1, 6));
+    gathered.add(report("a", 1, 8));
     const auto& sum = gathered.sum().at(base::route_name("r"));
     cr_assert_eq(sum.canary.answered, 8);
     cr_assert_eq(sum.canary.failed, 4);
@@ -38,10 +38,10 @@
 
 Test(gathered_reports, counts_of_routers_processes_and_routes_add_up) {
     gathered_reports gathered;
-    gathered.take(report("a", 1, 8));
-    gathered.take(report("a", 2, 2));
-    gathered.take(report("b", 1, 4));
-    gathered.take(report("b", 1, 6, "s"));
+    gathered.add(report("a", 1, 8));
+    gathered.add(report("a", 2, 2));
+    gathered.add(report("b", 1, 4));
+    gathered.add(report("b", 1, 6, "s"));
     cr_assert_eq(gathered.sum().at(base::route_name("r")).canary.answered, 14);
     cr_assert_eq(gathered.sum().at(base::route_name("s")).canary.answered, 6);
 }
--- a/test/relay/peer_group_test.cpp
+++ b/test/relay/peer_group_test.cpp
@@ -29,14 +29,15 @@
     return all;
 }
 
-/// All routers of a deployment, each having heard all others.
+/// @return the groups of all routers of a deployment. Each has got a notice from every other
+/// router.
 std::vector<peer_group> groups_of(const std::vector<peer_address>& all) {
     std::vector<peer_group> groups;
     for (const peer_address& self : all) {
         peer_group group(self);
         group.declare(all);
         for (const peer_address& other : all) {
-            group.heard(other, start);
+            group.record_notice(other, start);
         }
         groups.push_back(std::move(group));
     }
@@ -57,7 +58,7 @@
     peer_group group(router(0));
     group.declare({router(0), router(1)});
     cr_assert_eq(group.targets(start).size(), 1);
-    group.heard(router(2), start);
+    group.record_notice(router(2), start);
     cr_assert_eq(group.targets(start).size(), 2);
     cr_assert_eq(group.targets(start + 17s).size(), 1);
     group.declare({});
@@ -68,12 +69,12 @@
     peer_group group(router(0));
     group.declare({router(0), router(1)});
     for (int second = 0; second < 40; second += 8) {
-        group.heard(router(2), start + std::chrono::seconds(second));
+        group.record_notice(router(2), start + std::chrono::seconds(second));
         cr_assert_eq(group.targets(start + std::chrono::seconds(second + 7)).size(), 2);
     }
     peer_address moved = router(2);
     moved.address.port = 7;
-    group.heard(moved, start + 40s);
+    group.record_notice(moved, start + 40s);
     const auto targets = group.targets(start + 40s);
     cr_assert_eq(std::count(targets.begin(), targets.end(), moved.address), 1);
     cr_assert_eq(targets.size(), 2);
@@ -143,7 +144,7 @@
     const base::zone_name zone("z1");
     int before = 0;
     for (int holder = 0; holder < 30; ++holder) {
-        group.heard(router(1), start);
+        group.record_notice(router(1), start);
         const base::engine_name name("e" + std::to_string(holder));
         before += group.follows(name, zone, start) ? 1 : 0;
         cr_assert(group.follows(name, zone, start + 1500ms));
@@ -166,7 +167,7 @@
             peer_group group(self, regions);
             group.declare(all);
             for (const peer_address& other : all) {
-                group.heard(other, start);
+                group.record_notice(other, start);
             }
             const base::engine_name name("e" + std::to_string(holder));
             const bool follows = group.follows(name, base::zone_name("a1"), start);
@@ -200,7 +201,7 @@
         for (base::duration at = 0s; at <= 13s; at += 1s) {
             group.declare(all, begin + at);
             for (std::size_t other = 0; other < 7; ++other) {
-                group.heard(all[other], begin + at);
+                group.record_notice(all[other], begin + at);
             }
             cr_assert(at > 12s || group.gone(begin + at).empty());
         }
--- a/test/relay/rollout_lease_test.cpp
+++ b/test/relay/rollout_lease_test.cpp
@@ -20,7 +20,7 @@
     loop.context.restart();
     cr_assert(loop.run([&]() -> runtime::task<void> {
         co_await loop.until([&] {
-            one.lease.intend(true);
+            one.lease.set_intent(true);
             return one.lease.token().has_value();
         });
     }));
@@ -78,7 +78,7 @@
     time_to_act(loop, first);
     run_for(loop, 1600ms);  // It announced actions all the time, but took none.
     first.lease.finish();
-    first.lease.intend(true);
+    first.lease.set_intent(true);
     cr_assert_not(first.lease.token().has_value());
     first.leases.stop();
     router second(loop, table, 2, 1500ms);
@@ -97,10 +97,10 @@
     router second(loop, table, 2, 1500ms);
     loop.context.restart();
     cr_assert(loop.run([&] { return loop.until([&] { return second.lease.held(); }); }));
-    second.lease.intend(true);
+    second.lease.set_intent(true);
     run_for(loop, 100ms);
     cr_assert_not(second.lease.token().has_value());
-    second.lease.intend(true);
+    second.lease.set_intent(true);
     second.leases.stop();
     router third(loop, table, 3, 1500ms);
     time_to_act(loop, third);
@@ -114,7 +114,7 @@
     single_row_table table;
     router first(loop, table, 1);
     time_to_act(loop, first);
-    first.lease.intend(false);
+    first.lease.set_intent(false);
     run_for(loop, 250ms);
     cr_assert_not(first.lease.token().has_value());
     first.leases.stop();
--- a/test/relay/rollout_service_test.cpp
+++ b/test/relay/rollout_service_test.cpp
@@ -15,12 +15,12 @@
 struct fake_lease {
     std::optional<base::fencing_token> current;
     bool acting = false;
-    int acts_out = 0;
+    int actions_in_flight = 0;
     std::optional<base::fencing_token> token() const { return acting ? current : std::nullopt; }
     bool held() const { return current.has_value(); }
-    void intend(bool wanted) { acting = wanted; }
-    void act_begins() { ++acts_out; }
-    void act_ended() { --acts_out; }
+    void set_intent(bool wanted) { acting = wanted; }
+    void begin_action() { ++actions_in_flight; }
+    void end_action() { --actions_in_flight; }
 };
 
 struct fixture {
@@ -31,12 +31,12 @@
     fake_lease lease;
     rollout_service<fake_upstream, fake_lease> service{
         {loop.scheduler, upstream, registry, policies, lease,
-         [this](const rollout_news& told) {
+         [this](const rollout_news& announcement) {
              orders_at_announcement.push_back(upstream.orders.size());
-             news.push_back(told);
+             announcements.push_back(announcement);
          }},
         settings()};
-    std::vector<rollout_news> news;
+    std::vector<rollout_news> announcements;
     std::vector<std::size_t> orders_at_announcement;
 
     fixture() {
@@ -105,7 +105,7 @@
     at.run_for(20ms);
     cr_assert_eq(at.upstream.orders.size(), 6);
     cr_assert_not(at.lease.acting);
-    cr_assert_eq(at.lease.acts_out, 0, "each action that was begun must be ended");
+    cr_assert_eq(at.lease.actions_in_flight, 0, "each action that was begun must be ended");
 }
 
 Test(rollout_service, loads_are_announced_before_the_order_and_when_they_end) {
@@ -114,15 +114,15 @@
     at.service.start();
     const auto loaded = [&] {
         std::size_t count = 0;
-        for (const rollout_news& told : at.news) {
-            count += told.loaded.size();
+        for (const rollout_news& announcement : at.announcements) {
+            count += announcement.loaded.size();
         }
         return count;
     };
     at.run_until([&] { return loaded() == 3; });
     cr_assert_eq(at.orders_at_announcement.front(), 0,
                  "loads must be announced before the first order");
-    const peer::loading_weights& first = at.news.front().loading.front();
+    const peer::loading_weights& first = at.announcements.front().loading.front();
     cr_assert(first.model == "m" && first.version == 2 && first.ready_in > 0ms);
     at.run_for(20ms);
     cr_assert_eq(loaded(), 3, "each load must be announced once");
