--- a/src/ferryroad/relay/table_server.hpp
+++ b/src/ferryroad/relay/table_server.hpp
@@ -72,8 +72,8 @@
 
         friend bool operator==(const row_selection&, const row_selection&) = default;
     };
-    /// Kept because routers that start, or learn of a change, at the same time request the same
-    /// rows.
+    /// Packed rows of the last selection. They are kept because routers that start, or learn of a
+    /// change, at the same time request the same rows.
     struct packed_selection {
         row_selection selected;
         peer::packed_rows rows;
