--- a/src/ferryroad/core/admission/fair_queue.cpp
+++ b/src/ferryroad/core/admission/fair_queue.cpp
@@ -12,21 +12,21 @@
     return static_cast<std::size_t>(urgency);
 }
 
-/// Exponentially weighted mean; the first sample counts whole.
+/// Exponentially weighted moving average, initialized with the first sample.
 double updated_mean(double mean, double sample, double weight) {
     return mean <= 0 ? sample : mean + weight * (sample - mean);
 }
 
 }  // namespace
 
-fair_queue::fair_queue(std::size_t places, admission_tunables tunables)
-    : tunables_(tunables), places_(places) {}
+fair_queue::fair_queue(std::size_t max_running, admission_tunables tunables)
+    : tunables_(tunables), max_running_(max_running) {}
 
 queue_answer fair_queue::arrive(const waiting_request& request, base::monotonic_time now) {
     if (now > request.start_by) {
         return {queue_verdict::refused_deadline, {}, tunables_.shortest_retry_after};
     }
-    if (running_ < places_ && arrivals_.empty()) {
+    if (running_ < max_running_ && arrivals_.empty()) {
         record_start(request, false);
         return {queue_verdict::started, {}, {}};
     }
@@ -50,27 +50,27 @@
 }
 
 std::optional<base::request_id> fair_queue::start_next(base::monotonic_time now) {
-    if (running_ >= places_) {
+    if (running_ >= max_running_) {
         return std::nullopt;
     }
-    const bool aged_turn = starts_since_aged_ + 1 >= tunables_.aged_start_every;
-    const arrival aged = aged_turn ? choose_aged(now) : arrivals_.end();
-    const bool out_of_turn = aged != arrivals_.end();
-    const arrival chosen = out_of_turn ? aged : choose_fair(now);
+    const bool aged_start_due = starts_since_aged_ + 1 >= tunables_.aged_start_every;
+    const arrival oldest = aged_start_due ? choose_aged(now) : arrivals_.end();
+    const bool aged = oldest != arrivals_.end();
+    const arrival chosen = aged ? oldest : choose_fair(now);
     if (chosen == arrivals_.end()) {
         return std::nullopt;
     }
     const base::request_id started = chosen->request.request;
-    starts_since_aged_ = out_of_turn ? 0 : starts_since_aged_ + 1;
-    start_waiting(chosen, out_of_turn, now);
+    starts_since_aged_ = aged ? 0 : starts_since_aged_ + 1;
+    start_waiting(chosen, aged, now);
     return started;
 }
 
-void fair_queue::start_waiting(arrival chosen, bool out_of_turn, base::monotonic_time now) {
+void fair_queue::start_waiting(arrival chosen, bool aged, base::monotonic_time now) {
     const waiting_request started = chosen->request;
     record_service(started.work, now);
     erase(started.request);
-    record_start(started, out_of_turn);
+    record_start(started, aged);
     if (arrivals_.empty()) {
         last_start_while_waiting_.reset();
     }
@@ -121,7 +121,7 @@
     }
     for (const auto& [tenant, queue] : state.tenants) {
         if (tenant != request.tenant) {
-            // What this tenant may start before virtual time reaches our tag.
+            // Work that this tenant may start before virtual time reaches the request's own tag.
             const double share = (own_tag - start_tag(state, queue)) * queue.weight;
             work_ahead += std::clamp(share, 0.0, queue.queued_work);
         }
@@ -162,7 +162,7 @@
             continue;
         }
         const double tag = start_tag(state, queue);
-        // The earlier arrival among equal tags: the order of the table decides nothing.
+        // Equal tags go by arrival, so that the iteration order of the table has no effect.
         if (tag < least_tag || (tag == least_tag && (*in_time)->number < chosen->number)) {
             least_tag = tag;
             chosen = *in_time;
@@ -171,12 +171,12 @@
     return chosen;
 }
 
-void fair_queue::record_start(const waiting_request& request, bool out_of_turn) {
+void fair_queue::record_start(const waiting_request& request, bool aged) {
     level_state& state = levels_[index_of(request.urgency)];
     tenant_queue& queue = state.tenants[request.tenant];
     const double tag = start_tag(state, queue);
     queue.finish_tag = tag + request.work / request.weight;
-    if (!out_of_turn) {
+    if (!aged) {
         state.virtual_time = tag;
     }
     std::erase_if(state.tenants, [&state](const auto& each) {
--- a/src/ferryroad/core/admission/fair_queue.hpp
+++ b/src/ferryroad/core/admission/fair_queue.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Requests that wait for a place: by priority, fair between tenants, never past their
-/// deadline, and never starved.
+/// Admission queue with a concurrency limit: strict priority levels, weighted fair queueing
+/// between tenants, deadlines, and aging against starvation.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -18,61 +18,65 @@
 
 namespace ferryroad::core::admission {
 
-/// Urgency of a request; a higher level starts first.
+/// Priority of a request. Requests of a higher level start first.
 enum class level : std::uint8_t { low, normal, high };
 inline constexpr std::size_t level_count = 3;
 
-/// One request that wants to start.
+/// A request submitted to the queue.
 struct waiting_request {
     base::request_id request;
     base::tenant_name tenant;
-    double weight = 1;  ///< The tenant's share of starts within its level, above 0.
+    double weight = 1;  ///< Weight of the tenant within its level, above 0.
     level urgency = level::normal;
-    /// Work it brings, in any unit that is the same for all, above 0.
+    /// Cost of the request, above 0, in any unit that all requests of the queue share.
     double work = 1;
-    /// A start later than this can't meet the caller's deadline.
+    /// Latest start that can still meet the caller's deadline.
     base::monotonic_time start_by;
 };
 
 enum class queue_verdict {
-    started,           ///< A place was free: it runs now.
-    queued,            ///< It waits; `start_next` or `take_expired` names it later.
-    refused_deadline,  ///< It would start too late.
-    refused_full       ///< Too many wait already.
+    started,           ///< Capacity was free: the request runs now.
+    queued,            ///< The request waits; `start_next` or `take_expired` returns it later.
+    refused_deadline,  ///< The request is not expected to start before `start_by`.
+    refused_full       ///< The queue has reached `admission_tunables::queue_length`.
 };
 
 struct queue_answer {
     queue_verdict verdict{};
     base::duration expected_wait{};
-    /// When to come back, where refused.
+    /// Suggested delay before a retry; set only for a refused request.
     base::duration retry_after{};
 };
 
-/// Start-time fair queueing within each level; a higher level goes first, but while a
-/// request has waited longer than the aging bound, one start in `aged_start_every` goes to
-/// the longest waiting one of all. Pure: the caller tells the time, starts what is returned
-/// calls `finish` for each, and calls `start_next` until
-/// nothing comes after `arrive`, `finish` and `change_places`. Every request ends in exactly one
-/// of: started, refused, expired, cancelled.
+/// Start-time fair queueing within each level. Higher levels go first, but while a request has
+/// waited longer than `aging_bound`, one start in `aged_start_every` goes to the request that has
+/// waited longest over all levels. The class does no I/O and reads no clock. The caller passes the
+/// time, runs the requests returned, calls `finish` once for each of them, and calls `start_next`
+/// until it returns nothing after each `arrive`, `finish` and `change_places`. Every request ends
+/// in exactly one of: started, refused, expired, cancelled. Not thread-safe.
 class fair_queue {
   public:
-    /// @param places requests that may run at once.
-    explicit fair_queue(std::size_t places,
+    /// @param max_running number of requests that may run at once.
+    explicit fair_queue(std::size_t max_running,
                         admission_tunables tunables = default_admission_tunables);
 
-    /// More or fewer places from now on; running requests keep theirs.
-    void change_places(std::size_t places) { places_ = places; }
+    /// Changes the concurrency limit. Requests that are running already are not affected.
+    void change_places(std::size_t max_running) { max_running_ = max_running; }
 
+    /// Starts, queues or refuses a new request.
     queue_answer arrive(const waiting_request& request, base::monotonic_time now);
-    /// A started request has ended; its place is free.
+    /// Records that a started request has ended, which frees its capacity.
     void finish();
-    /// @return the next request to start, if a place is free and one waits that isn't late.
+    /// @return the next request to start; nothing if no capacity is free or no waiting request
+    /// can still start in time.
     std::optional<base::request_id> start_next(base::monotonic_time now);
-    /// @return requests that can't start in time any more; each is given out once.
+    /// Removes the requests whose `start_by` has passed.
+    /// @return these requests; each is returned once.
     std::vector<base::request_id> take_expired(base::monotonic_time now);
-    /// The caller is gone. @return true where it waited.
+    /// Removes a waiting request because its caller has disconnected.
+    /// @return whether the request was waiting.
     bool cancel(const base::request_id& request);
-    /// @return when the next waiting request expires.
+    /// @return when the next waiting request expires; nothing if none waits.
     std::optional<base::monotonic_time> next_expiry() const;
 
     std::size_t waiting() const { return by_request_.size(); }
@@ -82,18 +86,18 @@
     struct queued_request {
         waiting_request request;
         base::monotonic_time arrived_at;
-        std::uint64_t number = 0;  ///< Rises with each arrival.
+        std::uint64_t number = 0;  ///< Increases with each arrival.
     };
-    /// Longest waiting first.
+    /// Ordered by arrival, oldest first.
     using arrival_list = std::list<queued_request>;
     using arrival = arrival_list::iterator;
 
-    /// A tenant's requests of one level, in the order of their arrival.
+    /// Requests of one tenant at one level, in order of arrival.
     struct tenant_queue {
         std::list<arrival> requests;
         double queued_work = 0;
-        double weight = 1;      ///< As of its latest request.
-        double finish_tag = 0;  ///< Virtual time at which its started work is paid off.
+        double weight = 1;      ///< Weight given by the tenant's latest request.
+        double finish_tag = 0;  ///< Virtual finish time of the work started for the tenant.
     };
     struct level_state {
         double virtual_time = 0;
@@ -108,20 +112,23 @@
 
     static double start_tag(const level_state& state, const tenant_queue& queue);
     base::duration expected_wait(const waiting_request& request) const;
-    /// @return the request to start out of turn, or the end of `arrivals_`.
+    /// @return the oldest request that has waited longer than the aging bound, or
+    /// `arrivals_.end()`.
     arrival choose_aged(base::monotonic_time now);
-    /// @return the request whose turn it is, or the end of `arrivals_`.
+    /// @return the next request by priority and fair queueing, or `arrivals_.end()`.
     arrival choose_fair(base::monotonic_time now);
     arrival choose_fair(const level_state& state, base::monotonic_time now);
-    void start_waiting(arrival chosen, bool out_of_turn, base::monotonic_time now);
-    /// @param out_of_turn the tenant pays, but virtual time stays: those behind keep their turn.
-    void record_start(const waiting_request& request, bool out_of_turn);
+    void start_waiting(arrival chosen, bool aged, base::monotonic_time now);
+    /// @param aged whether the request starts because of its age. It is charged to the tenant, but
+    /// virtual time does not advance, so that the order of the other requests is unchanged.
+    void record_start(const waiting_request& request, bool aged);
+    /// Updates the measured service rate with a start that took place while requests waited.
     void record_service(double work, base::monotonic_time now);
     void insert(const waiting_request& request, base::monotonic_time now);
     void erase(const base::request_id& request);
 
     admission_tunables tunables_;
-    std::size_t places_;
+    std::size_t max_running_;
     std::size_t running_ = 0;
     std::array<level_state, level_count> levels_;
     arrival_list arrivals_;
@@ -129,7 +136,7 @@
     std::multimap<base::monotonic_time, base::request_id> by_expiry_;
     std::uint64_t next_number_ = 0;
     std::size_t starts_since_aged_ = 0;
-    /// Between starts while requests wait; 0 until measured.
+    /// Seconds between starts while requests wait; 0 until measured.
     double mean_start_interval_ = 0;
     double mean_started_work_ = 0;
     std::optional<base::monotonic_time> last_start_while_waiting_;
--- a/test/core/admission/fair_queue_test.cpp
+++ b/test/core/admission/fair_queue_test.cpp
@@ -1,4 +1,5 @@
-/// The queue: conservation, fairness, deadlines, no starvation.
+/// Admission queue: each request ends exactly once, tenants share by weight, no request starts
+/// after its deadline, and low priorities are not starved.
 #include "ferryroad/core/admission/fair_queue.hpp"
 
 #include <criterion/criterion.h>
@@ -35,7 +36,7 @@
     return started->value;
 }
 
-/// A queue whose single place is taken, so that all else waits.
+/// A queue with a limit of one request, which is running, so that every further request waits.
 fair_queue busy_queue() {
     fair_queue queue(1);
     queue.arrive(request_of("running", "other", level::high), at(0s));
@@ -44,7 +45,7 @@
 
 }  // namespace
 
-Test(fair_queue, a_free_place_is_taken_at_once) {
+Test(fair_queue, a_request_starts_at_once_while_capacity_is_free) {
     fair_queue queue(1);
     cr_assert(queue.arrive(request_of("1", "a", level::low), at(0s)).verdict ==
               queue_verdict::started);
@@ -89,15 +90,15 @@
         queue.arrive(request_of("r" + std::to_string(request), "a", level::normal), at(0s));
     }
     queue.finish();
-    // One start a second is measured: 40 still wait.
+    // The measured rate is one start per second, and 40 requests still wait.
     for (int start = 0; start < 10; ++start) {
         start_one(queue, std::chrono::seconds(start));
     }
-    const auto hopeless = queue.arrive(request_of("x", "a", level::normal, 20s), at(9s));
-    cr_assert(hopeless.verdict == queue_verdict::refused_deadline);
-    cr_assert(hopeless.retry_after > 0s);
-    cr_assert_float_eq(base::to_seconds(hopeless.expected_wait), 40, 1);
-    // Another tenant's turn comes sooner, and a higher level's at once.
+    const auto refused = queue.arrive(request_of("x", "a", level::normal, 20s), at(9s));
+    cr_assert(refused.verdict == queue_verdict::refused_deadline);
+    cr_assert(refused.retry_after > 0s);
+    cr_assert_float_eq(base::to_seconds(refused.expected_wait), 40, 1);
+    // Another tenant's request starts sooner, and one of a higher level starts at once.
     cr_assert(queue.arrive(request_of("y", "b", level::normal, 20s), at(9s)).verdict ==
               queue_verdict::queued);
     cr_assert(queue.arrive(request_of("z", "a", level::high, 10s), at(9s)).verdict ==
@@ -137,7 +138,7 @@
             queue.arrive(request_of("low" + std::to_string(low), "a", level::low), at(0s));
         }
         queue.finish();
-        // Requests of high priority never cease.
+        // High-priority requests keep arriving.
         base::duration now = tunables.aging_bound + 1ms;
         std::size_t low_started = 0;
         const std::size_t starts = low_count * tunables.aged_start_every;
@@ -184,11 +185,11 @@
 
 Test(fair_queue, every_request_ends_exactly_once) {
     cr_assert(rc::check("started, refused, expired or cancelled: one of them, once", [] {
-        const auto places = *rc::gen::inRange<std::size_t>(1, 4);
+        const auto max_running = *rc::gen::inRange<std::size_t>(1, 4);
         admission_tunables tunables;
         tunables.queue_length = 12;
         tunables.aging_bound = 300ms;
-        fair_queue queue(places, tunables);
+        fair_queue queue(max_running, tunables);
         std::map<std::string, base::monotonic_time> open;
         std::vector<std::string> all;
         base::duration now{};
@@ -227,10 +228,10 @@
                     break;
                 default: {
                     const auto urgency = *rc::gen::element(level::low, level::normal, level::high);
-                    const auto patience = std::chrono::milliseconds(*rc::gen::inRange(0, 800));
+                    const auto time_to_start = std::chrono::milliseconds(*rc::gen::inRange(0, 800));
                     auto request = request_of(std::to_string(step),
                                               *rc::gen::element<std::string>("a", "b", "c"),
-                                              urgency, now + patience);
+                                              urgency, now + time_to_start);
                     request.work = *rc::gen::inRange(1, 5);
                     const auto answer = queue.arrive(request, at(now));
                     all.push_back(request.request.value);
@@ -243,7 +244,7 @@
             start_all();
             RC_ASSERT(queue.waiting() == open.size());
             RC_ASSERT(queue.running() == running);
-            RC_ASSERT(running <= places);
+            RC_ASSERT(running <= max_running);
         }
     }));
 }
