--- a/src/ferryroad/core/admission/load_shedder.hpp
+++ b/src/ferryroad/core/admission/load_shedder.hpp
@@ -1,7 +1,8 @@
 /// @file
-/// Refuses a share of a pool's requests while its engines answer the others slowly: where engines
-/// are short, first come, first served answers nobody in time. The share follows what answers are
-/// seen to take of their target, so that no engine's capacity need be known.
+/// Load shedding for a pool: refuses a share of the requests while its engines answer slowly.
+/// Without it, an overloaded first-come-first-served queue answers no request in time. The share
+/// is derived from the observed latency relative to its target, so that the capacity of the
+/// engines need not be known.
 #pragma once
 
 #include "ferryroad/base/time.hpp"
@@ -11,61 +12,67 @@
 
 namespace ferryroad::core::admission {
 
-/// Measured against each other in design note 0058.
+/// Design note 0058 compares settings of these values.
 struct shedder_tunables {
-    /// Weight of the newest request in the pressure: a router sees some ten requests a second.
+    /// Weight of the newest request in `pressure`. A router sees about ten requests per second.
     double newest_weight = 0.1;
-    /// Part of their targets that answers may take before some requests are refused: long prompts
-    /// take that much to read where nothing waits.
-    double tolerated = 0.45;
-    /// Share refused for each part of the target beyond that.
-    double strength = 2.5;
-    /// Never more than this, so that a pool whose engines are all slow is still tried.
-    double most_refused = 0.7;
-    /// Weight of the newest answer in the time that answers take.
+    /// Pressure up to which nothing is refused. Prefill of long prompts takes this fraction of the
+    /// target even at an idle engine.
+    double tolerated_pressure = 0.45;
+    /// Increase of the refused share per unit of pressure above `tolerated_pressure`.
+    double refused_share_slope = 2.5;
+    /// Upper limit of the refused share, so that a pool whose engines are all slow still gets
+    /// requests that show when it recovers.
+    double max_refused_share = 0.7;
+    /// Weight of the newest answer in `delay`.
     double delay_weight = 0.1;
-    /// After a longer pause between two calls this process may have stood still: what waited
-    /// meanwhile says nothing of the engines.
-    base::duration longest_pause = std::chrono::seconds(1);
+    /// After a longer interval between two calls this process may have been suspended. Requests
+    /// that were outstanding meanwhile are not counted against the engines.
+    base::duration max_call_interval = std::chrono::seconds(1);
 };
 
-/// One pool at one router. Pure: events and `now` come in. Not thread-safe.
+/// State for one pool at one router. Does no I/O and reads no clock. Not thread-safe.
 class load_shedder {
   public:
     explicit load_shedder(shedder_tunables tunables = {}) : m_tunables(tunables) {}
 
-    /// A request was sent. @param target after which its first answer bytes are late.
-    /// @return its number, for `answered` and `ended`.
+    /// Records that a request was sent.
+    /// @param target time after which its first answer bytes are late; longer than zero.
+    /// @return the request's number, for `answered` and `ended`.
     std::uint64_t sent(base::duration target, base::monotonic_time now);
-    /// Its first answer bytes came. A number that isn't known any more changes nothing.
+    /// Records that the first answer bytes of a request arrived. Unknown numbers are ignored.
     void answered(std::uint64_t number, base::monotonic_time now);
-    /// It ended without any: that says nothing, unless it was late by then.
+    /// Records that a request ended without answer bytes. It counts only if it was late by then.
     void ended(std::uint64_t number, base::monotonic_time now);
 
-    /// @param draw of the request, from 0 to 1. @return whether it is refused.
+    /// @param draw random number of the request, from 0 to 1.
+    /// @return whether to refuse the request.
     bool refuses(double draw, base::monotonic_time now);
-    /// @return share of requests refused now.
+    /// @return the share of requests to refuse at present, from 0 to 1.
     double refused_share() const;
-    /// @return the part of their targets that first answer bytes take of late, from 0 to 1: what
-    /// is late takes all of it.
+    /// @return the moving average of the time to the first answer bytes as a fraction of the
+    /// target, from 0 to 1. A late request counts as 1.
     double pressure() const { return m_pressure; }
-    /// @return what first answer bytes take, of late.
+    /// @return the moving average of the time to the first answer bytes.
     base::duration delay() const { return m_delay; }
 
   private:
-    struct waiting_request {
+    struct outstanding_request {
         base::monotonic_time sent_at{};
         base::duration target{};
         bool counted_late = false;
     };
 
-    void look(base::monotonic_time now);
-    void note(double part);
+    /// Counts outstanding requests whose target has passed as late at once, instead of waiting for
+    /// their answers.
+    void count_late(base::monotonic_time now);
+    /// Adds a sample to the pressure.
+    void add_sample(double fraction);
 
     shedder_tunables m_tunables;
-    std::map<std::uint64_t, waiting_request> m_waiting;
+    std::map<std::uint64_t, outstanding_request> m_outstanding;
     std::uint64_t m_last_number = 0;
-    base::monotonic_time m_looked_at{};
+    base::monotonic_time m_last_call{};
     double m_pressure = 0;
     base::duration m_delay{};
 };
--- a/src/ferryroad/core/admission/retry_allowance.hpp
+++ b/src/ferryroad/core/admission/retry_allowance.hpp
@@ -1,21 +1,22 @@
 /// @file
-/// Whether a request may be tried once more.
+/// Interface of retry budgets.
 #pragma once
 
 #include "ferryroad/base/time.hpp"
 
 namespace ferryroad::core::admission {
 
-/// What requests to one target share. Not thread-safe.
+/// Limits the retries of the requests that share it, such as those to one pool. Not thread-safe.
 class retry_allowance {
   public:
     virtual ~retry_allowance() = default;
 
-    /// A request was answered.
+    /// Records that a request was answered.
     virtual void record_success() = 0;
-    /// @return true where a retry may be made; it is then spent.
+    /// Takes one retry from the budget.
+    /// @return whether the retry is allowed.
     virtual bool try_retry(base::monotonic_time now) = 0;
-    /// The retry allowed last was not made after all.
+    /// Returns the retry allowed last to the budget, because it was not made.
     virtual void give_back() = 0;
 
   protected:
--- a/src/ferryroad/core/admission/retry_budget.hpp
+++ b/src/ferryroad/core/admission/retry_budget.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Retries as a share of successes, so that they can't multiply an overload.
+/// Retry budget as a share of successful requests, so that retries don't amplify an overload.
 #pragma once
 
 #include "ferryroad/core/admission/retry_allowance.hpp"
@@ -7,20 +7,21 @@
 
 namespace ferryroad::core::admission {
 
-/// Each success saves up a share of a retry; each retry spends one. Retries never outnumber
-/// the reserve plus the shares saved.
+/// Each success adds `share` of a retry to the balance; each retry takes 1 from it. The number of
+/// retries never exceeds the reserve plus `share` times the number of successes.
 class retry_budget final : public retry_allowance {
   public:
-    /// @param share retries allowed for each success, 0 or more.
+    /// @param share retries allowed per success, 0 or more.
+    /// @param reserve initial and highest balance.
     explicit retry_budget(double share, double reserve = default_admission_tunables.retry_reserve);
 
     void record_success() override;
     bool try_retry();
     bool try_retry(base::monotonic_time) override { return try_retry(); }
     void give_back() override;
-    /// The share in force from now on.
+    /// Sets the share that later successes add.
     void change_share(double share) { share_ = share; }
-    /// The reserve in force from now on; what is saved beyond it is lost.
+    /// Sets the reserve. A balance above it is cut to it.
     void change_reserve(double reserve);
 
   private:
--- a/src/ferryroad/core/admission/retry_window.cpp
+++ b/src/ferryroad/core/admission/retry_window.cpp
@@ -4,13 +4,13 @@
 
 namespace {
 
-/// Of a window: requests are counted by so many parts of it, and leave it by whole parts.
+/// Requests are counted in this many slots per window and expire by whole slots.
 constexpr int slots_per_window = 20;
 
 }  // namespace
 
 void retry_window::record_request(base::monotonic_time now) {
-    forget(now);
+    drop_expired(now);
     if (m_slots.empty() || now - m_slots.back().began >= m_settings.window / slots_per_window) {
         m_slots.push_back({now, 0});
     }
@@ -19,7 +19,7 @@
 }
 
 bool retry_window::try_retry(base::monotonic_time now) {
-    forget(now);
+    drop_expired(now);
     const double allowed = m_settings.reserve + m_settings.share * static_cast<double>(m_requests);
     if (static_cast<double>(m_retries.size()) + 1 > allowed) {
         return false;
@@ -34,7 +34,7 @@
     }
 }
 
-void retry_window::forget(base::monotonic_time now) {
+void retry_window::drop_expired(base::monotonic_time now) {
     while (!m_slots.empty() && now - m_slots.front().began >= m_settings.window) {
         m_requests -= m_slots.front().requests;
         m_slots.pop_front();
--- a/src/ferryroad/core/admission/tenant_limiter.cpp
+++ b/src/ferryroad/core/admission/tenant_limiter.cpp
@@ -23,7 +23,7 @@
 limit_answer tenant_limiter::admit(const base::tenant_name& tenant, const tenant_share& share,
                                    base::monotonic_time now) {
     tenant_state& state = tenants_[tenant];
-    apply(state, share, now);
+    apply_limits(state, share, now);
     if (share.concurrent_requests > 0 && state.in_flight >= share.concurrent_requests) {
         return {limit_verdict::over_concurrency, bounded_retry_after(state.mean_between_finishes)};
     }
@@ -62,8 +62,8 @@
     });
 }
 
-void tenant_limiter::apply(tenant_state& state, const tenant_share& share,
-                           base::monotonic_time now) {
+void tenant_limiter::apply_limits(tenant_state& state, const tenant_share& share,
+                                  base::monotonic_time now) {
     if (share.requests_per_second <= 0) {
         state.bucket.reset();
         return;
--- a/src/ferryroad/core/admission/tenant_limiter.hpp
+++ b/src/ferryroad/core/admission/tenant_limiter.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Each tenant's rate and concurrency at this router.
+/// Rate and concurrency limits of each tenant at this router.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -13,11 +13,11 @@
 
 namespace ferryroad::core::admission {
 
-/// What this router may admit for one tenant; 0 means unlimited. The share of a limit that
-/// holds over all routers comes from the tenant's quota.
+/// Limits for one tenant at this router; 0 means unlimited. They are this router's share of the
+/// tenant's quota, which applies to all routers together.
 struct tenant_share {
     double requests_per_second = 0;
-    double request_burst = 0;  ///< 0: one second's worth, at least 1.
+    double request_burst = 0;  ///< 0: the requests of one second, at least 1.
     std::uint32_t concurrent_requests = 0;
 };
 
@@ -25,25 +25,26 @@
 
 struct limit_answer {
     limit_verdict verdict{};
-    /// When to come back; 0 where admitted.
+    /// Suggested delay before a retry; 0 for an admitted request.
     base::duration retry_after{};
 };
 
-/// Pure: (state, tenant, now) to a verdict. An admitted request holds one place until
-/// `finish`. A refused one takes nothing.
+/// An admitted request counts against the concurrency limit until `finish`. A refused request
+/// consumes neither rate nor concurrency. Does no I/O and reads no clock. Not thread-safe.
 class tenant_limiter {
   public:
-    /// @param share in force now; a change applies from this request on.
+    /// Admits or refuses a request.
+    /// @param share the current limits; a change applies from this request on.
     limit_answer admit(const base::tenant_name& tenant, const tenant_share& share,
                        base::monotonic_time now);
-    /// An admitted request has ended.
+    /// Records that an admitted request has ended.
     void finish(const base::tenant_name& tenant, base::monotonic_time now);
 
-    /// @return requests admitted and not yet finished.
+    /// @return the number of requests admitted and not yet finished.
     std::uint32_t in_flight(const base::tenant_name& tenant) const;
-    /// Drops tenants of which nothing need be remembered. Called now and then.
+    /// Drops the state of idle tenants whose bucket is full. Call it periodically.
     void reclaim(base::monotonic_time now);
-    /// @return tenants remembered.
+    /// @return the number of tenants with state.
     std::size_t size() const { return tenants_.size(); }
 
   private:
@@ -54,7 +55,8 @@
         base::duration mean_between_finishes{};
     };
 
-    static void apply(tenant_state& state, const tenant_share& share, base::monotonic_time now);
+    static void apply_limits(tenant_state& state, const tenant_share& share,
+                             base::monotonic_time now);
 
     std::unordered_map<base::tenant_name, tenant_state> tenants_;
 };
--- a/src/ferryroad/core/admission/token_bucket.cpp
+++ b/src/ferryroad/core/admission/token_bucket.cpp
@@ -6,8 +6,9 @@
 
 namespace {
 
-/// Below a nanosecond's worth at any sensible rate: rounding must not refuse a whole token.
-constexpr double rounding = 1e-6;
+/// Tolerance in tokens, so that rounding does not refuse a full token. At usual rates it is less
+/// than a bucket gains in a nanosecond.
+constexpr double token_tolerance = 1e-6;
 
 }  // namespace
 
@@ -24,7 +25,7 @@
 bool token_bucket::take(base::monotonic_time now) {
     tokens_ = tokens_at(now);
     counted_at_ = std::max(counted_at_, now);
-    if (tokens_ < 1 - rounding) {
+    if (tokens_ < 1 - token_tolerance) {
         return false;
     }
     tokens_ -= 1;
@@ -33,11 +34,12 @@
 
 base::duration token_bucket::time_until_token(base::monotonic_time now) const {
     const double missing = 1 - tokens_at(now);
-    return missing <= rounding ? base::duration::zero() : base::from_seconds(missing / rate_);
+    return missing <= token_tolerance ? base::duration::zero()
+                                      : base::from_seconds(missing / rate_);
 }
 
 bool token_bucket::full(base::monotonic_time now) const {
-    return tokens_at(now) >= burst_ - rounding;
+    return tokens_at(now) >= burst_ - token_tolerance;
 }
 
 double token_bucket::tokens_at(base::monotonic_time now) const {
--- a/src/ferryroad/core/admission/token_bucket.hpp
+++ b/src/ferryroad/core/admission/token_bucket.hpp
@@ -1,24 +1,28 @@
 /// @file
-/// Rate with a burst.
+/// Token bucket: a rate limit with a burst.
 #pragma once
 
 #include "ferryroad/base/time.hpp"
 
 namespace ferryroad::core::admission {
 
-/// Fills at `rate` a second up to `burst`; each admission takes one token. Starts full.
+/// Gains `rate` tokens per second up to `burst`; each admission takes one. Starts full. Not
+/// thread-safe.
 class token_bucket {
   public:
-    /// @param rate tokens a second, above 0. @param burst at least 1.
+    /// @param rate tokens per second, above 0.
+    /// @param burst capacity in tokens, at least 1.
     token_bucket(double rate, double burst, base::monotonic_time now);
 
-    /// Goes on with other figures; tokens above the new burst are lost.
+    /// Changes rate and burst; tokens above the new burst are lost.
     void change(double rate, double burst, base::monotonic_time now);
-    /// @return true where a token was there and taken.
+    /// Takes a token if one is available.
+    /// @return whether a token was taken.
     bool take(base::monotonic_time now);
-    /// @return until a token is there, if none is taken meanwhile; 0 where one is.
+    /// @return the time until a token is available if none is taken meanwhile; 0 if one is
+    /// available now.
     base::duration time_until_token(base::monotonic_time now) const;
-    /// @return true where nothing would be lost by starting afresh.
+    /// @return whether the bucket is full, and so in the same state as a new one.
     bool full(base::monotonic_time now) const;
 
   private:
--- a/src/ferryroad/core/admission/tunables.hpp
+++ b/src/ferryroad/core/admission/tunables.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Constants of admission.
+/// Constants of admission control.
 #pragma once
 
 #include "ferryroad/base/time.hpp"
@@ -9,22 +9,22 @@
 namespace ferryroad::core::admission {
 
 struct admission_tunables {
-    /// Bounds of what a tenant at its concurrency limit is told to wait.
+    /// Bounds of the suggested retry delay.
     base::duration shortest_retry_after = std::chrono::milliseconds(100);
     base::duration longest_retry_after = std::chrono::seconds(10);
-    /// Weight of the newest interval in the mean time between finished requests.
+    /// Weight of the newest interval in the moving average of the time between finished requests.
     double finish_interval_weight = 0.2;
 
-    /// Requests that wait in one queue at most.
+    /// Maximum number of requests waiting in one queue.
     std::size_t queue_length = 1024;
-    /// A request that has waited this long is aged: it counts against the share below.
+    /// Waiting time after which a request counts as aged and may overtake higher priorities.
     base::duration aging_bound = std::chrono::seconds(2);
-    /// While an aged request waits, one start in this many goes to the longest waiting one.
+    /// While aged requests wait, one start in this many goes to the oldest of them.
     std::size_t aged_start_every = 4;
-    /// Weight of the newest interval in the measured rate of service.
+    /// Weight of the newest interval in the measured service rate.
     double service_rate_weight = 0.05;
 
-    /// Retries allowed before any success has been seen, and the most that can be saved up.
+    /// Initial and highest balance of a retry budget, in retries.
     double retry_reserve = 10;
 };
 
--- a/src/ferryroad/core/canary/canary_baseline.cpp
+++ b/src/ferryroad/core/canary/canary_baseline.cpp
@@ -17,13 +17,14 @@
                            0.0);
 }
 
-/// @return by Laplace's rule: of few answers without a bad one, the next may well be bad.
-double share_of(double count, double total) {
+/// @return the estimated share by Laplace's rule of succession, which is above 0 even for a small
+/// sample without a single bad answer.
+double estimated_share(double count, double total) {
     return (count + 1) / (total + 2);
 }
 
-/// @return whether `count` of `total` is further from `share` than so many standard errors.
-bool is_far(double count, double total, double share, double errors) {
+/// @return whether `count` of `total` differs from `share` by more than `errors` standard errors.
+bool differs(double count, double total, double share, double errors) {
     return std::abs(count - total * share) > errors * std::sqrt(total * share * (1 - share));
 }
 
@@ -31,11 +32,11 @@
 
 void canary_baseline::add(const outcome_counts& more, const judge_tunables& tunables) {
     if (is_shifted(more, tunables)) {
-        fade(std::min(1.0, tunables.kept_at_shift / m_recent));
+        decay(std::min(1.0, tunables.answers_kept_at_shift / m_decayed_answered));
     }
-    fade(std::exp(-static_cast<double>(more.answered) / tunables.compared_answers));
+    decay(std::exp(-static_cast<double>(more.answered) / tunables.baseline_answers));
     m_answered += more.answered;
-    m_recent += more.answered;
+    m_decayed_answered += more.answered;
     m_failed += more.failed;
     for (std::size_t index = 0; index < m_durations.size(); ++index) {
         m_durations[index] += more.durations[index];
@@ -43,7 +44,7 @@
 }
 
 double canary_baseline::failed_share(const judge_tunables& tunables) const {
-    return std::max(tunables.least_failed, share_of(m_failed, m_recent));
+    return std::max(tunables.min_failed_share, estimated_share(m_failed, m_decayed_answered));
 }
 
 std::size_t canary_baseline::first_slow_class(const judge_tunables& tunables) const {
@@ -59,12 +60,13 @@
 }
 
 double canary_baseline::slow_share(std::size_t first_slow, const judge_tunables& tunables) const {
-    const double share = share_of(sum_from(m_durations, first_slow), sum_from(m_durations, 0));
-    return std::max(tunables.least_slow, share);
+    const double share =
+        estimated_share(sum_from(m_durations, first_slow), sum_from(m_durations, 0));
+    return std::max(tunables.min_slow_share, share);
 }
 
-void canary_baseline::fade(double factor) {
-    m_recent *= factor;
+void canary_baseline::decay(double factor) {
+    m_decayed_answered *= factor;
     m_failed *= factor;
     for (double& count : m_durations) {
         count *= factor;
@@ -72,13 +74,14 @@
 }
 
 bool canary_baseline::is_shifted(const outcome_counts& more, const judge_tunables& tunables) const {
-    if (m_recent <= tunables.kept_at_shift) {
+    if (m_decayed_answered <= tunables.answers_kept_at_shift) {
         return false;
     }
     const std::size_t first_slow = first_slow_class(tunables);
-    return is_far(more.failed, more.answered, failed_share(tunables), tunables.shifted_errors) ||
-           is_far(sum_from(more.durations, first_slow), sum_from(more.durations, 0),
-                  slow_share(first_slow, tunables), tunables.shifted_errors);
+    return differs(more.failed, more.answered, failed_share(tunables),
+                   tunables.shift_standard_errors) ||
+           differs(sum_from(more.durations, first_slow), sum_from(more.durations, 0),
+                   slow_share(first_slow, tunables), tunables.shift_standard_errors);
 }
 
 }  // namespace ferryroad::core::canary
--- a/src/ferryroad/core/canary/canary_baseline.hpp
+++ b/src/ferryroad/core/canary/canary_baseline.hpp
@@ -1,6 +1,5 @@
 /// @file
-/// What answers of the version in force are like on one route: what a version on trial is compared
-/// with.
+/// Baseline for the canary analysis: failures and durations of the current version on one route.
 #pragma once
 
 #include "ferryroad/core/canary/canary_judge.hpp"
@@ -11,29 +10,30 @@
 
 namespace ferryroad::core::canary {
 
-/// Of one route. Not thread-safe.
+/// Baseline of one route. Not thread-safe.
 class canary_baseline {
   public:
-    /// Takes answers of the current version that came since the last call.
+    /// Adds the answers of the current version since the last call.
     void add(const outcome_counts& more, const judge_tunables& tunables);
 
-    /// @return answers taken, failures included.
+    /// @return the number of answers added, failures included.
     double answered() const { return m_answered; }
-    /// @return share of answers that fail.
+    /// @return the share of answers that failed.
     double failed_share(const judge_tunables& tunables) const;
-    /// @return first class of durations that is slow.
+    /// @return the index of the first duration class that counts as slow.
     std::size_t first_slow_class(const judge_tunables& tunables) const;
-    /// @return share of answers that didn't fail that are of that class or slower.
+    /// @return the share of successful answers in class `first_slow` or a slower one.
     double slow_share(std::size_t first_slow, const judge_tunables& tunables) const;
 
   private:
-    void fade(double factor);
-    /// @return whether new answers fail or are slow at another rate than those before.
+    /// Scales down the weight of the answers so far.
+    void decay(double factor);
+    /// @return whether the failure or slow rate of the new answers differs from that before.
     bool is_shifted(const outcome_counts& more, const judge_tunables& tunables) const;
 
     double m_answered = 0;
-    // The latest answers: earlier ones count less.
-    double m_recent = 0;
+    // Exponentially decayed counts.
+    double m_decayed_answered = 0;
     double m_failed = 0;
     std::array<double, duration_classes> m_durations{};
 };
--- a/src/ferryroad/core/canary/canary_engines.cpp
+++ b/src/ferryroad/core/canary/canary_engines.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-/// The load of an engine in force that a canary's may go beyond before one more is taken: too much
-/// makes a good version slow, too little hides a fault.
-constexpr double most_load = 1.25;
-
-/// @return engines that together take `share` of the requests.
-std::size_t wanted(std::size_t current_engines, double share) {
-    const double each_as_current = share * static_cast<double>(current_engines) / (1 - share);
-    const double engines = std::floor(each_as_current + (2 - most_load));
+/// Upper limit of a canary engine's load relative to an engine of the current version; above it
+/// one more engine is used. Too much load makes a good version slow, too little hides a fault.
+constexpr double max_relative_load = 1.25;
+
+/// @return the number of engines to serve `share` of the requests.
+std::size_t engines_needed(std::size_t current_engines, double share) {
+    const double engines_at_equal_load = share * static_cast<double>(current_engines) / (1 - share);
+    const double engines = std::floor(engines_at_equal_load + (2 - max_relative_load));
     return std::max<std::size_t>(1, static_cast<std::size_t>(engines));
 }
 
@@ -35,7 +35,7 @@
     scored.erase(std::unique(scored.begin(), scored.end()), scored.end());
     std::vector<base::engine_name> chosen;
     for (const auto& [score, name] : scored) {
-        if (chosen.size() == wanted(current_engines, share)) {
+        if (chosen.size() == engines_needed(current_engines, share)) {
             break;
         }
         chosen.push_back(name);
--- a/src/ferryroad/core/canary/canary_engines.hpp
+++ b/src/ferryroad/core/canary/canary_engines.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Which engines of a version on trial get its requests: so few that each has about the load of
-/// an engine in force, as a fault may show only under load.
+/// Selects the engines that serve the canary version. They are so few that each has about the load
+/// of an engine of the current version, since a fault may show only under load.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -10,12 +10,13 @@
 
 namespace ferryroad::core::canary {
 
-/// @param order the trial, so that each trial takes other engines.
-/// @param candidates engines of the version on trial that are present.
-/// @param current_engines engines that the other requests go to.
-/// @param share of requests that the canary gets.
-/// @return the engines to use, by rendezvous over their names, at least one where there is one:
-/// the same at all routers that know the same engines. Thread-safe.
+/// Selects engines by rendezvous hashing of their names, so that all routers that know the same
+/// engines select the same ones. Thread-safe.
+/// @param order identifies the trial, so that each trial uses other engines.
+/// @param candidates the engines that run the canary version.
+/// @param current_engines number of engines that serve the other requests.
+/// @param share share of the requests that the canary serves, below 1.
+/// @return the engines to use; at least one unless there are no candidates.
 std::vector<base::engine_name> canary_engines(std::uint64_t order,
                                               const std::vector<base::engine_name>& candidates,
                                               std::size_t current_engines, double share);
--- a/src/ferryroad/core/canary/exposure_budget.cpp
+++ b/src/ferryroad/core/canary/exposure_budget.cpp
@@ -6,14 +6,14 @@
 
 bool exposure_budget::take(const base::route_name& route) {
     ++m_requests;
-    double& saved = m_saved[route];
-    saved += m_tunables.share;
-    const bool allowed = saved >= 1;
+    double& credit = m_credits[route];
+    credit += m_tunables.share;
+    const bool allowed = credit >= 1;
     if (allowed) {
-        saved -= 1;
+        credit -= 1;
         ++m_exposed;
     }
-    saved = std::min(saved, m_tunables.most_saved);
+    credit = std::min(credit, m_tunables.max_credit);
     return allowed;
 }
 
@@ -22,8 +22,8 @@
         return;
     }
     --m_exposed;
-    double& saved = m_saved[route];
-    saved = std::min(saved + 1, m_tunables.most_saved);
+    double& credit = m_credits[route];
+    credit = std::min(credit + 1, m_tunables.max_credit);
 }
 
 }  // namespace ferryroad::core::canary
--- a/src/ferryroad/core/canary/exposure_budget.hpp
+++ b/src/ferryroad/core/canary/exposure_budget.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Bounds how many requests a version on trial gets: a fixed share of what this router sends to
-/// the pool by itself. The sum over all routers is that share of all requests, whatever routers
-/// know of each other, through cuts and restarts.
+/// Limits the requests to the canary version to a fixed share of the requests that this router
+/// sends to the pool. Since each router keeps the limit by itself, it holds for the sum over all
+/// routers without coordination, also during network partitions and restarts.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -12,31 +12,32 @@
 namespace ferryroad::core::canary {
 
 struct exposure_tunables {
-    /// Of a route's requests. Below the 0.1 that operators allow, by what routers that are not
-    /// heard and requests that end in vain take.
+    /// Share of a route's requests. It is below the 0.1 that operators allow, to leave room for
+    /// routers whose reports are missing and for requests that end without an answer.
     double share = 0.07;
-    /// Requests to the canary that may be saved up on a route: one, so that they are spread.
-    double most_saved = 1;
+    /// Maximum credit of a route, in requests. With 1, requests to the canary are spread evenly.
+    double max_credit = 1;
 };
 
-/// Of one pool under one order. Not thread-safe.
+/// Budget of one pool under one release order. Not thread-safe.
 class exposure_budget {
   public:
     explicit exposure_budget(exposure_tunables tunables = {}) : m_tunables(tunables) {}
 
-    /// A first dispatch of a request on the route, to whichever group.
-    /// @return whether it may go to the canary, which is counted then.
+    /// Records the first dispatch of a request on the route, to either version.
+    /// @return whether it may go to the canary; if so, it counts as exposed.
     bool take(const base::route_name& route);
-    /// A request that was allowed went elsewhere after all: nothing was sent to the canary.
+    /// Returns the credit of an allowed request that was not sent to the canary.
     void give_back(const base::route_name& route);
 
+    /// @return the number of requests recorded.
     std::uint64_t requests() const { return m_requests; }
-    /// @return requests that were allowed: at most `share` of `requests`.
+    /// @return the number of requests allowed, at most `share` times `requests()`.
     std::uint64_t exposed() const { return m_exposed; }
 
   private:
     exposure_tunables m_tunables;
-    std::map<base::route_name, double> m_saved;
+    std::map<base::route_name, double> m_credits;
     std::uint64_t m_requests = 0;
     std::uint64_t m_exposed = 0;
 };
--- a/src/ferryroad/core/canary/types.hpp
+++ b/src/ferryroad/core/canary/types.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What is counted of a pool's answers while a new software version of its engines is on trial.
+/// Counts of a pool's answers during the canary trial of a new engine software version.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -12,30 +12,30 @@
 
 namespace ferryroad::core::canary {
 
-/// Which engines an answer came from.
+/// Group of engines that an answer came from.
 enum class engine_group : std::uint8_t {
-    current,  ///< Of the version in force.
-    canary    ///< Of the version on trial.
+    current,  ///< Engines of the current version.
+    canary    ///< Engines of the canary version.
 };
 
-/// Answers by how long they took: class `i` holds those of 2^(i/2) up to 2^((i+1)/2)
-/// milliseconds; the last one all that are longer.
+/// Number of classes in the histogram of durations. Class `i` holds durations from 2^(i/2) up to
+/// 2^((i+1)/2) milliseconds; the last class has no upper limit.
 inline constexpr std::size_t duration_classes = 32;
 
-/// Of one route and one group of engines, since this process first knew the order. Only rises.
-/// Durations are times for the same work: of a streamed answer without the reading of its prompt,
-/// as an engine that is new has no prompts in its memory; without waiting for a place where that
-/// differs between the groups. Only requests that began under the order are counted, of both
-/// groups: the first answers to come are the short ones.
+/// Answers of one group of engines on one route since this process learned of the release order.
+/// Counts never decrease. Durations must be comparable between the groups: those of streamed
+/// answers exclude prefill, since a new engine has an empty prompt cache, and queueing is excluded
+/// where it differs between the groups. In both groups only requests that started under the order
+/// are counted, because the answers that arrive first are the short ones.
 struct outcome_counts {
-    std::uint32_t answered = 0;  ///< Whole answers, failures included.
-    std::uint32_t failed = 0;    ///< Of these: the engine ran the request and failed.
-    std::array<std::uint32_t, duration_classes> durations{};  ///< Of those that didn't fail.
+    std::uint32_t answered = 0;  ///< Complete answers, failures included.
+    std::uint32_t failed = 0;    ///< Answers of requests that an engine ran and failed.
+    std::array<std::uint32_t, duration_classes> durations{};  ///< Successful answers by class.
 
     friend bool operator==(const outcome_counts&, const outcome_counts&) = default;
 };
 
-/// Both groups on the same route over the same time.
+/// Counts of both groups on one route over the same period.
 struct compared_counts {
     outcome_counts current;
     outcome_counts canary;
--- a/test/core/admission/limits_test.cpp
+++ b/test/core/admission/limits_test.cpp
@@ -1,4 +1,4 @@
-/// Token buckets, tenant limits and retry budgets: nothing is admitted beyond the figures.
+/// Token buckets, tenant limits and retry budgets never admit more than their limits.
 #include "ferryroad/core/admission/retry_budget.hpp"
 #include "ferryroad/core/admission/retry_window.hpp"
 #include "ferryroad/core/admission/tenant_limiter.hpp"
@@ -154,17 +154,18 @@
             } else if (budget.try_retry(now)) {
                 retries.push_back(now);
                 const auto within = [&](base::monotonic_time at) { return now - at < 10s; };
-                const auto made = std::count_if(retries.begin(), retries.end(), within);
-                const auto came = std::count_if(requests.begin(), requests.end(), within);
-                RC_ASSERT(static_cast<double>(made) <=
-                          reserve + share * static_cast<double>(came) + 1e-9);
+                const auto retry_count = std::count_if(retries.begin(), retries.end(), within);
+                const auto request_count = std::count_if(requests.begin(), requests.end(), within);
+                RC_ASSERT(static_cast<double>(retry_count) <=
+                          reserve + share * static_cast<double>(request_count) + 1e-9);
             }
         }
     }));
 }
 
-/// One of 83 routers sees 6.5 requests a second for a pool; when a rollout's orders reach a sixth
-/// of the engines, several of them are refused within a second, once or twice each.
+/// One of 83 routers gets 6.5 requests per second for a pool. When the load orders of a weights
+/// rollout reach a sixth of the engines, several requests are refused within a second, once or
+/// twice each. The budget must allow these retries.
 Test(retry_window, a_rollouts_refusals_in_a_row_are_within_a_quiet_windows_share) {
     retry_window budget({0.15, 1.5, 10s});
     base::monotonic_time now{1000s};
--- a/test/core/admission/load_shedder_test.cpp
+++ b/test/core/admission/load_shedder_test.cpp
@@ -1,4 +1,4 @@
-/// What is refused while engines answer late, and when that ends.
+/// Load shedding: the refused share rises while answers are late and falls when they recover.
 #include "ferryroad/core/admission/load_shedder.hpp"
 
 #include "ferryroad/base/random.hpp"
@@ -17,13 +17,13 @@
 constexpr base::duration target = 600ms;
 constexpr base::monotonic_time start{1h};
 
-/// Sends requests one after the other, each answered after `took`.
+/// Sends requests one after another, each answered after `took`.
 base::monotonic_time serve(load_shedder& shedder, int requests, base::duration took,
                            base::monotonic_time now) {
     for (int request = 0; request < requests; ++request) {
         const auto number = shedder.sent(target, now);
         for (base::duration waited = 100ms; waited < took; waited += 100ms) {
-            shedder.refuses(1, now + waited);  // Other requests come meanwhile.
+            shedder.refuses(1, now + waited);  // Other requests arrive meanwhile.
         }
         now += took;
         shedder.answered(number, now);
@@ -57,7 +57,7 @@
     cr_assert_gt(early, 0);
     now = serve(shedder, 50, 900ms, now);
     cr_assert_gt(shedder.refused_share(), early);
-    cr_assert_eq(shedder.refused_share(), shedder_tunables{}.most_refused);
+    cr_assert_eq(shedder.refused_share(), shedder_tunables{}.max_refused_share);
     cr_assert(shedder.refuses(0.4, now));
     cr_assert_not(shedder.refuses(0.8, now));
 }
@@ -86,7 +86,7 @@
     cr_assert_not(shedder.refuses(0, now));
 }
 
-Test(load_shedder, a_process_that_stood_still_blames_no_engine) {
+Test(load_shedder, a_suspended_process_counts_no_late_answers) {
     load_shedder shedder;
     std::deque<std::uint64_t> numbers;
     for (int request = 0; request < 20; ++request) {
@@ -99,7 +99,7 @@
     cr_assert_eq(shedder.pressure(), 0);
 }
 
-Test(load_shedder, what_ends_without_an_answer_says_nothing_unless_it_was_late) {
+Test(load_shedder, a_request_without_an_answer_counts_only_if_late) {
     load_shedder shedder;
     shedder.ended(shedder.sent(target, start), start + 100ms);
     cr_assert_eq(shedder.pressure(), 0);
@@ -107,7 +107,7 @@
     shedder.ended(late, start + 900ms);
     cr_assert_gt(shedder.pressure(), 0);
     shedder.answered(late, start + 950ms);
-    shedder.ended(late, start + 950ms);  // Twice, and in the wrong order: nothing more.
+    shedder.ended(late, start + 950ms);  // Repeated events in the wrong order have no effect.
     cr_assert_leq(shedder.pressure(), shedder_tunables{}.newest_weight);
 }
 
@@ -117,17 +117,18 @@
     cr_assert_float_eq(base::to_seconds(shedder.delay()), 0.3, 0.01);
 }
 
-/// A pool that serves `places` requests at a time, each for `hold`, first come, first served.
-Test(load_shedder, a_pool_that_is_short_answers_most_of_what_it_takes_in_time) {
+/// A first-come-first-served pool that runs `max_running` requests at a time, each for
+/// `service_time`.
+Test(load_shedder, an_overloaded_pool_answers_most_admitted_requests_in_time) {
     struct row {
         double overload;
-        double in_time;  ///< Least share of what is answered.
+        double in_time;  ///< Minimum share of the answers that arrive in time.
     };
     for (const auto& [overload, least] : {row{1.1, 0.98}, row{1.3, 0.9}, row{1.8, 0.5}}) {
         load_shedder shedder;
         base::seeded_random random(7);
-        constexpr int places = 20;
-        constexpr base::duration hold = 1s;
+        constexpr int max_running = 20;
+        constexpr base::duration service_time = 1s;
         constexpr base::duration step = 5ms;
         std::deque<std::pair<std::uint64_t, base::monotonic_time>> queue;
         std::deque<base::monotonic_time> running;
@@ -138,21 +139,21 @@
             while (!running.empty() && running.front() <= now) {
                 running.pop_front();
             }
-            for (due += overload * places * base::to_seconds(step); due >= 1; due -= 1) {
+            for (due += overload * max_running * base::to_seconds(step); due >= 1; due -= 1) {
                 if (!shedder.refuses(random.unit(), now)) {
                     queue.emplace_back(shedder.sent(target, now), now);
                 }
             }
-            while (running.size() < places && !queue.empty()) {
+            while (running.size() < max_running && !queue.empty()) {
                 const auto [number, sent_at] = queue.front();
                 queue.pop_front();
                 shedder.answered(number, now);
-                running.push_back(now + hold);
+                running.push_back(now + service_time);
                 answered += now > start + 20s ? 1 : 0;
                 in_time += now > start + 20s && now - sent_at <= target ? 1 : 0;
             }
         }
-        cr_assert_gt(answered, 0.9 * places * 40, "its places are used");
+        cr_assert_gt(answered, 0.9 * max_running * 40, "the pool's capacity is used");
         cr_assert_geq(in_time, least * answered, "overload %.1f: %d of %d", overload, in_time,
                       answered);
     }
--- a/test/core/canary/canary_trial_test.cpp
+++ b/test/core/canary/canary_trial_test.cpp
@@ -1,4 +1,4 @@
-/// What the judge says of counts written down by hand and drawn.
+/// Canary analysis of given counts and of simulated ones.
 #include "test/core/canary/simulated_pool.hpp"
 
 #include <criterion/criterion.h>
@@ -12,7 +12,7 @@
 
 const base::route_name route("r");
 
-/// Answers that took 2^(8/2) ms and some; `slow` of them eight times that.
+/// Answers in duration class 8, from 2^(8/2) ms up, and `slow` ones that take eight times as long.
 outcome_counts answers(std::uint32_t good, std::uint32_t failed = 0, std::uint32_t slow = 0) {
     outcome_counts counts;
     counts.answered = good + failed + slow;
@@ -22,9 +22,9 @@
     return counts;
 }
 
-/// Adds the answers of both groups that come between two looks.
-judgement next(canary_trial& trial, counts_by_route& counts, const outcome_counts& current,
-               const outcome_counts& canary) {
+/// Adds new answers of both groups and evaluates the trial.
+judgement evaluate(canary_trial& trial, counts_by_route& counts, const outcome_counts& current,
+                   const outcome_counts& canary) {
     const auto add = [](outcome_counts& to, const outcome_counts& more) {
         to.answered += more.answered;
         to.failed += more.failed;
@@ -116,38 +116,39 @@
 Test(canary_trial, a_good_beginning_hides_nothing) {
     canary_trial trial;
     counts_by_route counts;
-    cr_assert(next(trial, counts, answers(9000), answers(800)).found == verdict::good);
-    const auto found = next(trial, counts, answers(200), answers(9, 7));
+    cr_assert(evaluate(trial, counts, answers(9000), answers(800)).found == verdict::good);
+    const auto found = evaluate(trial, counts, answers(200), answers(9, 7));
     cr_assert(found.found == verdict::bad);
-    cr_assert(judge(counts).found == verdict::good, "The whole alone doesn't show it.");
+    cr_assert(judge(counts).found == verdict::good, "the totals alone don't show the change");
     cr_assert(trial.at_deadline() == verdict::bad);
 }
 
 Test(canary_trial, good_is_taken_back_and_bad_is_not) {
     canary_trial trial;
     counts_by_route counts;
-    next(trial, counts, answers(9000), answers(800));
-    const auto doubtful = next(trial, counts, answers(200), answers(5, 3));
+    evaluate(trial, counts, answers(9000), answers(800));
+    const auto doubtful = evaluate(trial, counts, answers(200), answers(5, 3));
     cr_assert(doubtful.found == verdict::undecided);
     cr_assert(trial.at_deadline() == verdict::bad);
-    next(trial, counts, answers(200), answers(0, 10));
-    cr_assert(next(trial, counts, answers(9000), answers(900)).found == verdict::bad);
+    evaluate(trial, counts, answers(200), answers(0, 10));
+    cr_assert(evaluate(trial, counts, answers(9000), answers(900)).found == verdict::bad);
     cr_assert(trial.last().found == verdict::bad);
 }
 
 Test(canary_trial, answers_wait_for_something_to_compare_with) {
     canary_trial trial;
     counts_by_route counts;
-    cr_assert(next(trial, counts, answers(5), answers(0, 20)).found == verdict::undecided);
-    cr_assert(next(trial, counts, answers(200), {}).found == verdict::bad);
+    cr_assert(evaluate(trial, counts, answers(5), answers(0, 20)).found == verdict::undecided);
+    cr_assert(evaluate(trial, counts, answers(200), {}).found == verdict::bad);
 }
 
 Test(canary_trial, a_burst_that_makes_both_slow_is_no_evidence) {
     canary_trial trial;
     counts_by_route counts;
-    next(trial, counts, answers(2000), answers(150));
+    evaluate(trial, counts, answers(2000), answers(150));
     for (int look = 0; look < 5; ++look) {
-        cr_assert(next(trial, counts, answers(80, 0, 120), answers(6, 0, 9)).found != verdict::bad);
+        cr_assert(evaluate(trial, counts, answers(80, 0, 120), answers(6, 0, 9)).found !=
+                  verdict::bad);
     }
 }
 
--- a/test/core/canary/exposure_test.cpp
+++ b/test/core/canary/exposure_test.cpp
@@ -1,4 +1,4 @@
-/// How much a version on trial gets, and which of its engines.
+/// Share of the requests that goes to the canary version, and selection of its engines.
 #include "ferryroad/core/canary/canary_engines.hpp"
 #include "ferryroad/core/canary/exposure_budget.hpp"
 
@@ -39,7 +39,7 @@
     return *rc::gen::inRange(1, 21) / 100.0;
 }
 
-/// Sums of the share are rounded.
+/// Tolerance for rounding in sums of the share.
 constexpr double rounding = 1e-6;
 
 }  // namespace
@@ -128,10 +128,10 @@
         const double share = 0.07;
         const auto chosen = canary_engines(1, named(current), current, share).size();
         const double each = share / static_cast<double>(chosen);
-        const double old_one = (1 - share) / static_cast<double>(current);
-        cr_assert_leq(each, 1.25 * old_one + rounding, "%zu", current);
-        // Where one engine is still too many, its load is what there is.
-        cr_assert(chosen == 1 || each > 0.6 * old_one, "%zu", current);
+        const double current_engine_load = (1 - share) / static_cast<double>(current);
+        cr_assert_leq(each, 1.25 * current_engine_load + rounding, "%zu", current);
+        // With a single canary engine the load may be lower.
+        cr_assert(chosen == 1 || each > 0.6 * current_engine_load, "%zu", current);
     }
 }
 
--- a/test/core/canary/simulated_pool.hpp
+++ b/test/core/canary/simulated_pool.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Draws the counts of a pool under trial: three routes, durations lognormal, answers at once.
+/// Simulates the counts of a pool under trial: three routes with lognormal durations. Answers are
+/// counted in the step in which their requests start.
 #pragma once
 
 #include "ferryroad/base/random.hpp"
@@ -14,35 +15,36 @@
 
 namespace ferryroad::core::canary::test {
 
-/// What is wrong with a version.
+/// Simulated fault of the canary version.
 struct fault {
     std::string name;
-    double failing = 0;      ///< Share of its answers.
-    double slow = 0;         ///< Share of its answers.
-    double slowdown = 3;     ///< Of these.
-    double begins = 0;       ///< Seconds from the order.
-    bool one_route = false;  ///< The second only.
-    double burst = 1;        ///< From 4 to 8 s both versions take so many times as long.
+    double failing = 0;      ///< Share of answers that fail.
+    double slow = 0;         ///< Share of answers that are slow.
+    double slowdown = 3;     ///< Factor by which the slow answers take longer.
+    double begins = 0;       ///< Seconds from the order to the start of the fault.
+    bool one_route = false;  ///< Whether only the second route is affected.
+    double burst = 1;        ///< Factor by which both versions are slower from 4 to 8 s.
 };
 
-/// How one trial went.
-struct course {
-    verdict at_end = verdict::undecided;       ///< Before the deadline's decision.
-    verdict at_deadline = verdict::undecided;  ///< What is decided, whenever.
-    double seconds = 0;                        ///< Until found bad, or the last good.
-    std::uint32_t bad_answers = 0;             ///< That the fault touched, until then.
+/// Result of one simulated trial.
+struct trial_result {
+    verdict at_end = verdict::undecided;       ///< Verdict before the decision at the deadline.
+    verdict at_deadline = verdict::undecided;  ///< Final decision.
+    double seconds = 0;                        ///< Time of the last change of the verdict.
+    std::uint32_t bad_answers = 0;             ///< Answers affected by the fault until then.
 };
 
 constexpr double share = 0.07;
 constexpr double trial_seconds = 12;
-constexpr double look_seconds = 0.3;
-constexpr double spread = 0.7;
-constexpr double failing_anyway = 0.005;
-constexpr double negligible = 1e-9;  ///< Answers expected of a class: not drawn.
+constexpr double step_seconds = 0.3;
+constexpr double log_spread = 0.7;
+constexpr double base_failure_rate = 0.005;
+constexpr double negligible = 1e-9;  ///< Expected count of a class below which none is drawn.
 constexpr std::array<double, 3> route_parts{0.5, 0.3, 0.2};
-constexpr std::array<double, 3> route_medians{20, 140, 900};  ///< Milliseconds.
+constexpr std::array<double, 3> route_medians{20, 140, 900};  ///< In milliseconds.
 
-/// @return shares of the duration classes for a lognormal with that median in milliseconds.
+/// @return the shares of the duration classes of a lognormal distribution.
+/// @param median in milliseconds.
 inline const std::vector<double>& class_shares(double median) {
     static std::map<double, std::vector<double>> known;
     std::vector<double>& shares = known[median];
@@ -52,9 +54,10 @@
     double before = 0;
     for (std::size_t index = 0; index < duration_classes; ++index) {
         const double upper = std::exp2((static_cast<double>(index) + 1) / 2);
-        const double until = index + 1 == duration_classes
-                                 ? 1
-                                 : std::erfc(-std::log(upper / median) / spread / std::sqrt(2)) / 2;
+        const double until =
+            index + 1 == duration_classes
+                ? 1
+                : std::erfc(-std::log(upper / median) / log_spread / std::sqrt(2)) / 2;
         shares.push_back(until - before);
         before = until;
     }
@@ -63,47 +66,47 @@
 
 class simulated_pool {
   public:
-    simulated_pool(double rate, fault wrong, std::uint64_t seed)
-        : m_rate(rate), m_wrong(std::move(wrong)), m_generator(seed) {}
+    simulated_pool(double rate, fault injected, std::uint64_t seed)
+        : m_rate(rate), m_fault(std::move(injected)), m_generator(seed) {}
 
-    course run() {
+    trial_result run() {
         canary_trial trial;
-        course went;
+        trial_result result;
         verdict last = verdict::undecided;
-        for (double now = look_seconds; now < trial_seconds + look_seconds / 2;
-             now += look_seconds) {
-            m_times = now > 4 && now < 8 ? m_wrong.burst : 1;
-            step(now > m_wrong.begins + look_seconds / 2);
+        for (double now = step_seconds; now < trial_seconds + step_seconds / 2;
+             now += step_seconds) {
+            m_slowdown = now > 4 && now < 8 ? m_fault.burst : 1;
+            step(now > m_fault.begins + step_seconds / 2);
             const auto found = trial.look(m_counts);
             if (found.found != last) {
-                went.seconds = now;
+                result.seconds = now;
                 last = found.found;
             }
             if (last == verdict::bad) {
                 break;
             }
         }
-        went.at_end = last;
-        went.at_deadline = trial.at_deadline();
-        went.bad_answers = m_bad_answers;
-        return went;
+        result.at_end = last;
+        result.at_deadline = trial.at_deadline();
+        result.bad_answers = m_bad_answers;
+        return result;
     }
     const counts_by_route& counts() const { return m_counts; }
-    /// Draws one look's answers.
+    /// Draws the answers between two evaluations.
     void step(bool faulty) {
         for (std::size_t index = 0; index < route_parts.size(); ++index) {
             auto& counts = m_counts[base::route_name("route-" + std::to_string(index))];
-            const double answers = m_rate * look_seconds * route_parts[index];
-            draw(counts.current, answers * (1 - share), failing_anyway, route_medians[index]);
-            const bool touched = faulty && (!m_wrong.one_route || index == 1);
-            const double failing = touched ? m_wrong.failing : 0;
-            const double slow = touched ? m_wrong.slow : 0;
+            const double answers = m_rate * step_seconds * route_parts[index];
+            draw(counts.current, answers * (1 - share), base_failure_rate, route_medians[index]);
+            const bool touched = faulty && (!m_fault.one_route || index == 1);
+            const double failing = touched ? m_fault.failing : 0;
+            const double slow = touched ? m_fault.slow : 0;
             const double exposed = answers * share;
-            draw(counts.canary, exposed * (1 - failing - slow), failing_anyway,
+            draw(counts.canary, exposed * (1 - failing - slow), base_failure_rate,
                  route_medians[index]);
             m_bad_answers += draw(counts.canary, exposed * failing, 1, route_medians[index]);
-            m_bad_answers += draw(counts.canary, exposed * slow, failing_anyway,
-                                  route_medians[index] * m_wrong.slowdown);
+            m_bad_answers += draw(counts.canary, exposed * slow, base_failure_rate,
+                                  route_medians[index] * m_fault.slowdown);
         }
     }
 
@@ -114,7 +117,7 @@
     std::uint32_t draw(outcome_counts& into, double mean, double failing, double median) {
         const std::uint32_t failed = poisson(mean * failing);
         std::uint32_t all = failed;
-        const auto& shares = class_shares(median * m_times);
+        const auto& shares = class_shares(median * m_slowdown);
         for (std::size_t index = 0; index < duration_classes && failing < 1; ++index) {
             const std::uint32_t more = poisson(mean * (1 - failing) * shares[index]);
             into.durations[index] += more;
@@ -126,8 +129,8 @@
     }
 
     double m_rate;
-    double m_times = 1;
-    fault m_wrong;
+    double m_slowdown = 1;
+    fault m_fault;
     std::mt19937_64 m_generator;
     counts_by_route m_counts;
     std::uint32_t m_bad_answers = 0;
