--- a/src/ferryroad/core/execution/actions.hpp
+++ b/src/ferryroad/core/execution/actions.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What a request's execution asks of whoever drives it.
+/// Actions that `request_execution` returns for its driver to carry out.
 #pragma once
 
 #include "ferryroad/core/execution/events.hpp"
@@ -11,47 +11,47 @@
 
 namespace ferryroad::core::execution {
 
-/// Record a claim on the request's key; answered by `claim_answered`.
+/// Claim the request's idempotency key. The driver answers with `claim_answered`.
 struct claim_key {};
 
-/// Choose an engine; answered by `engine_selected` or `selection_failed`.
+/// Select an engine. The driver answers with `engine_selected` or `selection_failed`.
 struct select_engine {
-    std::vector<base::engine_name> excluded;  ///< Tried already.
+    std::vector<base::engine_name> excluded;  ///< Engines tried before.
 };
 
-/// Send a new attempt; answered by the events of `exchange`.
+/// Send a new attempt. The driver answers with the events of `exchange`.
 struct dispatch_attempt {
     exchange_number exchange;
     attempt_number attempt;
     engine_process engine;
-    std::uint32_t first_token = 0;  ///< Above 0: continue after the tokens already emitted.
+    std::uint32_t first_token = 0;  ///< Index of the first token to generate.
 };
 
-/// Take up the stream of a live attempt again; answered by the events of `exchange`.
+/// Resume the stream of a running attempt. The driver answers with the events of `exchange`.
 struct resume_attempt {
     exchange_number exchange;
     attempt_number attempt;
     engine_process engine;
-    std::uint32_t first_token = 0;
+    std::uint32_t first_token = 0;  ///< Index of the first token to send.
 };
 
-/// Tell the engine to end an attempt. Nobody waits for an answer.
+/// Tell the engine to cancel an attempt. No event answers it.
 struct cancel_attempt {
     attempt_number attempt;
     engine_process engine;
 };
 
-/// Pass the token just received on to the caller.
+/// Forward the token just received to the caller.
 struct emit_token {
     std::uint32_t index = 0;
 };
 
-/// The answer is whole. Last action to the caller.
+/// Complete the answer. Last action towards the caller.
 struct finish {
     std::uint32_t tokens = 0;
 };
 
-/// Give the caller the outcome that the claim answer brought. Last action to the caller.
+/// Send the caller the stored outcome from the answer to the claim. Last action towards the caller.
 struct replay_outcome {};
 
 enum class refusal_reason {
@@ -67,7 +67,7 @@
     caller_gone
 };
 
-/// Give up and say so at once. Last action to the caller.
+/// Refuse the request or report its failure. Last action towards the caller.
 struct refuse {
     refusal_reason reason{};
     execution_report report = execution_report::unknown;
@@ -75,12 +75,12 @@
 };
 
 enum class claim_settlement {
-    complete,  ///< Record the answer.
-    unknown,   ///< It may have run: the key stays closed.
-    release    ///< It never ran: free the key.
+    complete,  ///< The request completed: store its answer.
+    unknown,   ///< The request may have run: the key stays in use.
+    release    ///< The request did not run: release the key.
 };
 
-/// Write the end of a claimed request to its record. Nobody waits for an answer.
+/// Record the outcome of a claimed request. No event answers it.
 struct settle_claim {
     claim_settlement settlement{};
 };
--- a/src/ferryroad/core/execution/events.hpp
+++ b/src/ferryroad/core/execution/events.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What can happen to a request while it is executed.
+/// Input events of `request_execution`.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -12,12 +12,13 @@
 
 namespace ferryroad::core::execution {
 
-/// Counts a request's attempts, from 1.
+/// Number of an attempt within its request, from 1.
 using attempt_number = base::strong_id<struct attempt_number_tag, std::uint32_t>;
-/// Counts a request's exchanges with engines, from 1: each dispatch and each resume is one.
+/// Number of an exchange with an engine within its request, from 1. Each dispatch and each resume
+/// is one exchange.
 using exchange_number = base::strong_id<struct exchange_number_tag, std::uint32_t>;
 
-/// The one process that an attempt was meant for.
+/// The engine process that an attempt is addressed to.
 struct engine_process {
     base::engine_name name;
     base::incarnation incarnation;
@@ -27,54 +28,54 @@
 
 enum class claim_decision { granted, finished, in_progress, other_content, unavailable };
 
-/// Answer to `action::claim`.
+/// Answer to `claim_key`.
 struct claim_answered {
     claim_decision decision{};
     std::optional<base::duration> retry_after;
 };
 
-/// Answer to `action::select`.
+/// Answer to `select_engine`.
 struct engine_selected {
     engine_process engine;
 };
 
 enum class selection_problem { no_engine, deadline_too_near };
 
-/// Answer to `action::select`.
+/// Answer to `select_engine`.
 struct selection_failed {
     selection_problem problem{};
     std::optional<base::duration> retry_after;
 };
 
-/// The engine has taken the attempt.
+/// The engine has accepted the attempt.
 struct exchange_started {
     exchange_number exchange;
 };
 
 struct token_received {
     exchange_number exchange;
-    std::uint32_t index = 0;  ///< From 0 within the whole answer.
+    std::uint32_t index = 0;  ///< Index within the whole answer, from 0.
 };
 
-/// The engine proved the answer whole.
+/// The engine confirmed that the answer is complete.
 struct exchange_ended {
     exchange_number exchange;
-    std::uint32_t tokens = 0;  ///< Of the whole answer; 0 for answers that are no token stream.
+    std::uint32_t tokens = 0;  ///< Tokens in the whole answer; 0 if it is not a token stream.
 };
 
 enum class failure_kind {
-    unreachable,     ///< No connection.
-    stale_target,    ///< Another incarnation or version than expected, or leaving.
-    overloaded,      ///< The engine's queue is full.
-    rejected,        ///< No engine can ever run it.
-    attempt_gone,    ///< The engine no longer holds the attempt to resume.
-    broken,          ///< The connection broke, or the answer made no sense.
-    timed_out,       ///< Nothing came in time.
-    engine_failure,  ///< The engine ran it and failed.
-    withheld         ///< Not sent after all: what the choice of the engine stood on had ended.
+    unreachable,   ///< No connection could be opened.
+    stale_target,  ///< The engine has another incarnation or version than expected, or is leaving.
+    overloaded,    ///< The engine's queue is full.
+    rejected,      ///< The request is invalid for every engine.
+    attempt_gone,  ///< The engine no longer has the attempt to resume.
+    broken,        ///< The connection was lost, or the answer was malformed.
+    timed_out,     ///< No data arrived in time.
+    engine_failure,  ///< The engine ran the request and failed.
+    withheld         ///< Not sent, because the basis for selecting the engine was no longer valid.
 };
 
-/// What a failure proves of the exchange's request.
+/// What a failure proves about the request of its exchange.
 enum class failure_proof { not_sent, not_run, unknown };
 
 struct exchange_failed {
@@ -84,7 +85,7 @@
     std::optional<base::duration> retry_after;
 };
 
-/// Nobody waits for the answer any more.
+/// The caller has disconnected.
 struct caller_gone {};
 
 /// The caller's deadline has passed.
--- a/src/ferryroad/core/execution/request_execution.cpp
+++ b/src/ferryroad/core/execution/request_execution.cpp
@@ -7,20 +7,21 @@
 
 namespace {
 
-bool surely_not_run(const attempt_record& attempt) {
+bool is_proven_not_run(const attempt_record& attempt) {
     return attempt.state == attempt_state::not_sent ||
            attempt.state == attempt_state::proven_not_run;
 }
 
-/// Stale knowledge of one engine is no sign of a failing pool, so that correcting it is free.
-bool spends_budget(failure_kind kind, const tunables& limits) {
+/// @return whether a retry after this failure is charged to the retry budget. Failures that come
+/// from stale routing information don't indicate a failing pool.
+bool charges_budget(failure_kind kind, const tunables& limits) {
     if (kind == failure_kind::stale_target) {
         return !limits.stale_target_is_free;
     }
     return kind != failure_kind::unreachable && kind != failure_kind::withheld;
 }
 
-refusal_reason reason_of(failure_kind kind) {
+refusal_reason refusal_reason_for(failure_kind kind) {
     switch (kind) {
         case failure_kind::overloaded:
             return refusal_reason::overloaded;
@@ -38,7 +39,7 @@
 
 action_list request_execution::begin(base::monotonic_time now) {
     if (phase_ != phase::idle) {
-        return drop();
+        return drop_event();
     }
     if (now >= rules_.deadline) {
         return end_with_refusal(refusal_reason::deadline_exceeded, std::nullopt);
@@ -63,13 +64,13 @@
     if (complete) {
         return execution_report::complete;
     }
-    const bool not_run = std::all_of(attempts_.begin(), attempts_.end(), surely_not_run);
+    const bool not_run = std::all_of(attempts_.begin(), attempts_.end(), is_proven_not_run);
     return not_run ? execution_report::not_run : execution_report::unknown;
 }
 
 action_list request_execution::on(const claim_answered& answer, context& at) {
     if (phase_ != phase::claiming) {
-        return drop();
+        return drop_event();
     }
     switch (answer.decision) {
         case claim_decision::granted:
@@ -88,21 +89,22 @@
         case claim_decision::unavailable:
             break;
     }
-    // The claim may have been recorded all the same: free the key, for nothing will run.
+    // The claim may have been recorded although no answer arrived. Settle it as held, so that the
+    // key is released; nothing will run.
     holds_claim_ = true;
     return end_with_refusal(refusal_reason::claim_unavailable, answer.retry_after);
 }
 
 action_list request_execution::on(const engine_selected& selected, context& at) {
     if (phase_ != phase::selecting) {
-        return drop();
+        return drop_event();
     }
     if (at.now >= rules_.deadline) {
         return end_with_refusal(refusal_reason::deadline_exceeded, std::nullopt);
     }
     const attempt_number number(static_cast<std::uint32_t>(attempts_.size()) + 1);
     attempts_.push_back({number, selected.engine, attempt_state::sent});
-    retry_paid_ = false;
+    retry_charged_ = false;
     ++last_exchange_.value;
     phase_ = phase::exchanging;
     return {dispatch_attempt{last_exchange_, number, selected.engine, next_token_}};
@@ -110,11 +112,11 @@
 
 action_list request_execution::on(const selection_failed& failed, context& at) {
     if (phase_ != phase::selecting) {
-        return drop();
+        return drop_event();
     }
-    if (retry_paid_) {
-        at.budget.give_back();  // Nothing was sent for it.
-        retry_paid_ = false;
+    if (retry_charged_) {
+        at.budget.give_back();  // The retry was not sent.
+        retry_charged_ = false;
     }
     if (failed.problem == selection_problem::deadline_too_near || overloaded_refusals_ > 0) {
         return end_with_refusal(refusal_reason::overloaded, failed.retry_after);
@@ -126,7 +128,7 @@
 
 action_list request_execution::on(const exchange_started& started, context&) {
     if (!is_current(started.exchange)) {
-        return drop();
+        return drop_event();
     }
     attempts_.back().started = true;
     return {};
@@ -134,20 +136,20 @@
 
 action_list request_execution::on(const token_received& token, context& at) {
     if (!is_current(token.exchange)) {
-        return drop();
+        return drop_event();
     }
     attempts_.back().started = true;
     if (token.index != next_token_) {
         return on(exchange_failed{token.exchange, failure_kind::broken}, at);
     }
     ++next_token_;
-    attempts_.back().resumes = 0;  // Only resumes that bring nothing count.
+    attempts_.back().resumes = 0;  // Only resumes without progress are limited.
     return {emit_token{token.index}};
 }
 
 action_list request_execution::on(const exchange_ended& ended, context& at) {
     if (!is_current(ended.exchange)) {
-        return drop();
+        return drop_event();
     }
     attempts_.back().started = true;
     if (rules_.streamed && ended.tokens != next_token_) {
@@ -163,7 +165,7 @@
 
 action_list request_execution::on(const exchange_failed& failed, context& at) {
     if (!is_current(failed.exchange)) {
-        return drop();
+        return drop_event();
     }
     attempt_record& attempt = attempts_.back();
     record_failure(attempt, failed);
@@ -176,7 +178,7 @@
     if (may_retry(failed, at)) {
         return retry();
     }
-    return give_up(failed);
+    return fail(failed);
 }
 
 action_list request_execution::on(const caller_gone&, context&) {
@@ -197,7 +199,7 @@
     return phase_ == phase::exchanging && exchange == last_exchange_;
 }
 
-action_list request_execution::drop() {
+action_list request_execution::drop_event() {
     ++dropped_;
     return {};
 }
@@ -213,8 +215,8 @@
 
 void request_execution::record_failure(attempt_record& attempt,
                                        const exchange_failed& failed) const {
-    // A proof counts only before the engine was seen to take the attempt: a failed resume
-    // proves nothing of what it meant to resume.
+    // A proof is valid only before the engine accepted the attempt. The failure of a resume proves
+    // nothing about the attempt itself.
     const bool proof_counts = !attempt.started;
     if (proof_counts && failed.proof == failure_proof::not_sent) {
         attempt.state = attempt_state::not_sent;
@@ -226,7 +228,7 @@
 }
 
 bool request_execution::may_resume(const attempt_record& attempt, failure_kind kind) const {
-    if (!rules_.streamed || !attempt.started || surely_not_run(attempt)) {
+    if (!rules_.streamed || !attempt.started || is_proven_not_run(attempt)) {
         return false;
     }
     if (attempt.resumes >= limits_.resumes_per_attempt) {
@@ -235,7 +237,7 @@
     if (kind == failure_kind::broken) {
         return true;
     }
-    // An engine that is silent is asked again only where no other may be.
+    // An engine that timed out is asked again only if the request must not run elsewhere.
     return kind == failure_kind::timed_out && !rules_.repeatable;
 }
 
@@ -258,15 +260,15 @@
     }
     const auto executions =
         std::count_if(attempts_.begin(), attempts_.end(),
-                      [](const attempt_record& attempt) { return !surely_not_run(attempt); });
+                      [](const attempt_record& attempt) { return !is_proven_not_run(attempt); });
     if (static_cast<std::uint64_t>(executions) >= limits_.executions) {
         return false;
     }
-    if (!rules_.repeatable && !surely_not_run(attempts_.back())) {
+    if (!rules_.repeatable && !is_proven_not_run(attempts_.back())) {
         return false;
     }
-    retry_paid_ = spends_budget(failed.kind, limits_);
-    return !retry_paid_ || at.budget.try_retry(at.now);
+    retry_charged_ = charges_budget(failed.kind, limits_);
+    return !retry_charged_ || at.budget.try_retry(at.now);
 }
 
 action_list request_execution::retry() {
@@ -278,9 +280,9 @@
     return actions;
 }
 
-action_list request_execution::give_up(const exchange_failed& failed) {
+action_list request_execution::fail(const exchange_failed& failed) {
     const bool ran = report() != execution_report::not_run;
-    auto reason = reason_of(failed.kind);
+    auto reason = refusal_reason_for(failed.kind);
     if (ran && !rules_.repeatable) {
         reason = refusal_reason::outcome_unknown;
     } else if (!ran && reason == refusal_reason::engine_failed) {
@@ -307,7 +309,7 @@
         return;
     }
     attempt_record& attempt = attempts_.back();
-    if (surely_not_run(attempt) || attempt.state == attempt_state::complete) {
+    if (is_proven_not_run(attempt) || attempt.state == attempt_state::complete) {
         return;
     }
     attempt.state = attempt_state::unknown;
--- a/src/ferryroad/core/execution/request_execution.hpp
+++ b/src/ferryroad/core/execution/request_execution.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Execution of one request over one or more attempts: what to do next, and what is known.
+/// State machine that executes one request in one or more attempts.
 #pragma once
 
 #include "ferryroad/base/time.hpp"
@@ -15,49 +15,52 @@
 
 namespace ferryroad::core::execution {
 
-/// What the request's route and kind allow.
+/// Rules for a request, derived from its route and kind.
 struct execution_rules {
-    bool repeatable = true;
-    bool claimed = false;  ///< A claim on the request's key goes before any dispatch.
-    bool streamed = true;  ///< The answer is numbered tokens and can be resumed.
+    bool repeatable = true;  ///< Whether the request may run more than once.
+    bool claimed = false;    ///< Whether the request's key must be claimed before any dispatch.
+    bool streamed = true;    ///< Whether the answer is numbered tokens and can be resumed.
     base::monotonic_time deadline{};
 };
 
-/// One try of the request on one engine.
+/// One attempt to run the request on one engine.
 struct attempt_record {
     attempt_number number;
     engine_process engine;
     attempt_state state = attempt_state::not_sent;
     bool started = false;
-    std::uint32_t resumes = 0;  ///< Since its last token.
+    std::uint32_t resumes = 0;  ///< Resumes since its last token.
 };
 
-/// State machine of one request. Pure: time comes with each event, and the retry budget,
-/// shared by the requests of a route and tenant, is borrowed for the call.
+/// State machine of one request. It does no I/O and reads no clock: the time comes with each event,
+/// and the retry budget, shared by the requests of a route and tenant, is passed to each call. Not
+/// thread-safe.
 ///
-/// It holds in any order of events that
-/// - tokens are emitted once each, from 0 on without gap, and `finish` only follows an
-///   engine's proof that the answer is whole;
+/// Invariants, for any order of events:
+/// - each token is emitted once, from 0 without gaps, and `finish` is returned only after an engine
+///   confirmed that the answer is complete;
 /// - `not_run` is reported only if every attempt is not sent or proven not run;
-/// - a request that may not be repeated has at most one attempt that isn't proven not run;
-/// - exactly one of `finish`, `replay_outcome` and `refuse` is given, at the end;
-/// - answers of ended and foreign exchanges change nothing but `dropped()`.
+/// - a request that must not be repeated has at most one attempt that is not proven not run;
+/// - exactly one of `finish`, `replay_outcome` and `refuse` is returned, at the end;
+/// - events of ended or unknown exchanges have no effect except on `dropped()`.
 class request_execution {
   public:
     explicit request_execution(execution_rules rules, tunables limits = {});
 
-    /// Called once, first.
+    /// Starts the execution. To be called once, before `handle`.
     action_list begin(base::monotonic_time now);
 
-    /// @param budget of the request's route and tenant.
-    /// @return what to do, in order; empty where the event changes nothing.
+    /// Processes an event.
+    /// @param budget retry budget of the request's route and tenant.
+    /// @return the actions to carry out, in order; empty if there is nothing to do.
     action_list handle(const event& happened, base::monotonic_time now,
                        admission::retry_allowance& budget);
 
     bool ended() const { return phase_ == phase::ended; }
-    /// @return what a caller may be told if the request were given up on now.
+    /// @return what the caller would be told about the execution if the request failed now.
     execution_report report() const;
-    /// @return answers dropped, because their exchange was over or never was.
+    /// @return the number of events dropped because they were unexpected or their exchange had
+    /// ended or was unknown.
     std::uint32_t dropped() const { return dropped_; }
     std::uint32_t emitted_tokens() const { return next_token_; }
     const std::vector<attempt_record>& attempts() const { return attempts_; }
@@ -81,14 +84,14 @@
     action_list on(const deadline_passed& passed, context& at);
 
     bool is_current(exchange_number exchange);
-    action_list drop();
+    action_list drop_event();
     action_list select();
     void record_failure(attempt_record& attempt, const exchange_failed& failed) const;
     bool may_resume(const attempt_record& attempt, failure_kind kind) const;
     action_list resume(attempt_record& attempt);
     bool may_retry(const exchange_failed& failed, context& at);
     action_list retry();
-    action_list give_up(const exchange_failed& failed);
+    action_list fail(const exchange_failed& failed);
     action_list end_with_refusal(refusal_reason reason, std::optional<base::duration> retry_after);
     void cancel_live_attempt(action_list& actions);
     void settle(action_list& actions);
@@ -101,7 +104,7 @@
     exchange_number last_exchange_;
     std::uint32_t next_token_ = 0;
     std::uint32_t overloaded_refusals_ = 0;
-    bool retry_paid_ = false;  ///< The budget paid for a retry that wasn't sent yet.
+    bool retry_charged_ = false;  ///< The budget was charged for a retry that is not sent yet.
     std::uint32_t dropped_ = 0;
 };
 
--- a/src/ferryroad/core/execution/state.hpp
+++ b/src/ferryroad/core/execution/state.hpp
@@ -1,24 +1,24 @@
 /// @file
-/// What is known of an attempt's or a request's execution, and what a caller may be told.
+/// Execution state of attempts and requests, and its report to the caller.
 #pragma once
 
 #include <string_view>
 
 namespace ferryroad::core::execution {
 
-/// Knowledge of one attempt on one engine.
+/// What this router knows about an attempt on an engine.
 enum class attempt_state {
-    not_sent,        ///< No byte of it has left this router.
-    sent,            ///< Some byte may have reached the engine; no answer yet.
-    proven_not_run,  ///< The engine said that it did not and will not run it.
-    unknown,         ///< Sent, then lost sight of: it may have run, in part or whole.
-    complete         ///< The whole answer came back.
+    not_sent,        ///< No byte of the attempt has been sent.
+    sent,            ///< Bytes may have reached the engine; there is no result yet.
+    proven_not_run,  ///< The engine stated that it did not and will not run the attempt.
+    unknown,         ///< Sent, but the result was lost: it may have run in part or completely.
+    complete         ///< The complete answer was received.
 };
 
-/// What the caller is told in `Ferryroad-Execution`.
+/// Content of the response header `Ferryroad-Execution`.
 enum class execution_report { complete, not_run, unknown };
 
-/// Header value: `complete`, `not-run` or `unknown`.
+/// @return the header value: `complete`, `not-run` or `unknown`.
 constexpr std::string_view to_string(execution_report report) {
     switch (report) {
         case execution_report::complete:
--- a/src/ferryroad/core/execution/tunables.hpp
+++ b/src/ferryroad/core/execution/tunables.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Limits of one request's execution, in one place.
+/// Limits for the execution of one request.
 #pragma once
 
 #include "ferryroad/base/time.hpp"
@@ -10,14 +10,14 @@
 namespace ferryroad::core::execution {
 
 struct tunables {
-    std::uint32_t attempts = 4;  ///< Dispatches for one request, the first included.
-    /// Of these, those that ran or may have run.
+    std::uint32_t attempts = 4;  ///< Maximum number of dispatches, including the first.
+    /// Maximum number of dispatches that ran or may have run.
     std::uint32_t executions = std::numeric_limits<std::uint32_t>::max();
-    std::uint32_t resumes_per_attempt = 2;  ///< In a row, without a token between them.
-    std::uint32_t overloaded_refusals = 2;  ///< Engines asked before the pool counts as full.
-    /// Whether going on elsewhere after a refusal for stale knowledge spends no retry budget.
+    std::uint32_t resumes_per_attempt = 2;  ///< Maximum of consecutive resumes without a token.
+    std::uint32_t overloaded_refusals = 2;  ///< Refusals after which the pool counts as full.
+    /// Whether a retry after `failure_kind::stale_target` is not charged to the retry budget.
     bool stale_target_is_free = true;
-    /// When to come back, where nobody said a better time.
+    /// Suggested delay before a retry by the caller if no engine or store suggested one.
     base::duration retry_after = std::chrono::seconds(1);
 };
 
--- a/src/ferryroad/core/quarantine/crash_suspects.cpp
+++ b/src/ferryroad/core/quarantine/crash_suspects.cpp
@@ -14,19 +14,20 @@
 }
 
 /// @return whether the crash may be charged to the candidate.
-bool counts(const engine_crash& crash, const crash_candidate& one) {
+bool is_chargeable(const engine_crash& crash, const crash_candidate& one) {
     return one.silent || !any_silent(crash);
 }
 
 bool is_charged(const engine_crash& crash, const request_identity& request) {
-    return std::any_of(
-        crash.candidates.begin(), crash.candidates.end(),
-        [&](const crash_candidate& one) { return one.request == request && counts(crash, one); });
+    return std::any_of(crash.candidates.begin(), crash.candidates.end(),
+                       [&](const crash_candidate& one) {
+                           return one.request == request && is_chargeable(crash, one);
+                       });
 }
 
-std::size_t counted_candidates(const engine_crash& crash) {
+std::size_t chargeable_candidates(const engine_crash& crash) {
     const auto named = std::count_if(crash.candidates.begin(), crash.candidates.end(),
-                                     [&](const auto& one) { return counts(crash, one); });
+                                     [&](const auto& one) { return is_chargeable(crash, one); });
     return static_cast<std::size_t>(named) + crash.unnamed;
 }
 
@@ -38,62 +39,62 @@
 }
 
 crash_suspects::crash_suspects(suspects_tunables tunables)
-    : m_tunables(tunables), m_good_ends(tunables.good_end_holds) {}
+    : m_tunables(tunables), m_successes(tunables.success_lifetime) {}
 
-bool crash_suspects::record_crash(const engine_crash& told, base::monotonic_time now) {
-    forget_old(now);
-    if (now - told.at > m_tunables.crash_kept) {
+bool crash_suspects::record_crash(const engine_crash& report, base::monotonic_time now) {
+    drop_expired(now);
+    if (now - report.at > m_tunables.crash_lifetime) {
         return false;
     }
-    engine_crash* known = find_crash(told);
+    engine_crash* known = find_crash(report);
     const bool is_new = known == nullptr;
     if (is_new) {
-        m_crashes.push_back({told.engine, told.at, told.began, {}, 0});
+        m_crashes.push_back({report.engine, report.at, report.began, {}, 0});
         known = &m_crashes.back();
     }
-    const bool news = merge(*known, told) || is_new;
-    if (news) {
-        m_look_at = std::max(now, m_looked_at + m_tunables.look_pace);
+    const bool has_changes = merge(*known, report) || is_new;
+    if (has_changes) {
+        m_next_evaluation = std::max(now, m_last_evaluation + m_tunables.look_pace);
     }
-    forget_old(now);
-    return news;
+    drop_expired(now);
+    return has_changes;
 }
 
-engine_crash* crash_suspects::find_crash(const engine_crash& told) {
+engine_crash* crash_suspects::find_crash(const engine_crash& report) {
     const auto found = std::find_if(m_crashes.rbegin(), m_crashes.rend(),
-                                    [&](const auto& one) { return is_same_crash(one, told); });
+                                    [&](const auto& one) { return is_same_crash(one, report); });
     return found == m_crashes.rend() ? nullptr : &*found;
 }
 
-bool crash_suspects::merge(engine_crash& known, const engine_crash& told) const {
-    known.at = std::min(known.at, told.at);
-    known.began = std::max(known.began, told.began);
-    bool news = told.unnamed > known.unnamed;
-    known.unnamed = std::max(known.unnamed, told.unnamed);
-    for (const crash_candidate& one : told.candidates) {
+bool crash_suspects::merge(engine_crash& known, const engine_crash& report) const {
+    known.at = std::min(known.at, report.at);
+    known.began = std::max(known.began, report.began);
+    bool has_changes = report.unnamed > known.unnamed;
+    known.unnamed = std::max(known.unnamed, report.unnamed);
+    for (const crash_candidate& one : report.candidates) {
         const auto same =
             std::find_if(known.candidates.begin(), known.candidates.end(),
                          [&](const auto& other) { return other.request == one.request; });
         if (same != known.candidates.end()) {
-            news = news || (one.silent && !same->silent);
+            has_changes = has_changes || (one.silent && !same->silent);
             same->silent = same->silent || one.silent;
         } else if (known.candidates.size() < m_tunables.candidates) {
             known.candidates.push_back(one);
-            news = true;
+            has_changes = true;
         }
     }
-    return news;
+    return has_changes;
 }
 
-void crash_suspects::forget_old(base::monotonic_time now) {
+void crash_suspects::drop_expired(base::monotonic_time now) {
     while (!m_crashes.empty() && (m_crashes.size() > m_tunables.crashes ||
-                                  now - m_crashes.front().at > m_tunables.crash_kept)) {
+                                  now - m_crashes.front().at > m_tunables.crash_lifetime)) {
         m_crashes.pop_front();
     }
 }
 
 bool crash_suspects::record_good_end(const request_identity& request, base::monotonic_time now) {
-    m_good_ends.record(request, now);
+    m_successes.record(request, now);
     bool known = m_quarantined.erase(request) > 0;
     for (engine_crash& crash : m_crashes) {
         known = std::erase_if(crash.candidates,
@@ -105,7 +106,7 @@
 
 const quarantined_request* crash_suspects::find(const request_identity& request,
                                                 base::monotonic_time now) {
-    look(now);
+    evaluate(now);
     const auto found = m_quarantined.find(request);
     const bool holds = found != m_quarantined.end() && now < found->second.until;
     return holds ? &found->second : nullptr;
@@ -117,7 +118,7 @@
 }
 
 std::vector<quarantined_request> crash_suspects::take_new(base::monotonic_time now) {
-    look(now);
+    evaluate(now);
     return std::exchange(m_new, {});
 }
 
@@ -127,17 +128,17 @@
                       [&](const auto& entry) { return now < entry.second.until; }));
 }
 
-void crash_suspects::look(base::monotonic_time now) {
-    if (!m_look_at || now < *m_look_at) {
+void crash_suspects::evaluate(base::monotonic_time now) {
+    if (!m_next_evaluation || now < *m_next_evaluation) {
         return;
     }
-    m_look_at.reset();
-    m_looked_at = now;
+    m_next_evaluation.reset();
+    m_last_evaluation = now;
     for (;;) {
         const tallies all = count(now);
         const std::pair<const request_identity, tally>* worst = nullptr;
         for (const auto& one : all) {
-            if (!convicts(one.first, one.second, now)) {
+            if (!should_quarantine(one.first, one.second, now)) {
                 continue;
             }
             const auto rank = [](const auto& entry) {
@@ -167,19 +168,19 @@
 void crash_suspects::add_shares(const engine_crash& crash, tallies& all,
                                 base::monotonic_time now) const {
     const double share =
-        1.0 / static_cast<double>(std::max<std::size_t>(1, counted_candidates(crash)));
+        1.0 / static_cast<double>(std::max<std::size_t>(1, chargeable_candidates(crash)));
     for (const crash_candidate& one : crash.candidates) {
         const auto before = m_quarantined.find(one.request);
-        const bool served_its_time =
+        const bool already_charged =
             before != m_quarantined.end() && crash.at <= before->second.until;
-        if (!counts(crash, one) || served_its_time || ended_well_lately(one.request, now)) {
+        if (!is_chargeable(crash, one) || already_charged || ended_well_lately(one.request, now)) {
             continue;
         }
-        tally& counted = all[one.request];
-        ++counted.crashes;
-        counted.weighed += one.silent ? 1.0 : m_tunables.running_crash;
-        counted.share += share * (one.silent ? 1.0 : m_tunables.running_share);
-        counted.newest = std::max(counted.newest, crash.at);
+        tally& sum = all[one.request];
+        ++sum.crashes;
+        sum.weighted_crashes += one.silent ? 1.0 : m_tunables.running_crash_weight;
+        sum.share += share * (one.silent ? 1.0 : m_tunables.running_share_weight);
+        sum.newest = std::max(sum.newest, crash.at);
     }
 }
 
@@ -188,43 +189,43 @@
                        [&](const crash_candidate& one) {
                            const auto found = m_quarantined.find(one.request);
                            return found != m_quarantined.end() && crash.at <= found->second.until &&
-                                  counts(crash, one);
+                                  is_chargeable(crash, one);
                        });
 }
 
-bool crash_suspects::convicts(const request_identity& request, const tally& counted,
-                              base::monotonic_time now) {
-    const bool again = m_quarantined.contains(request);
-    if (again || counted.weighed >= m_tunables.certain_crashes) {
+bool crash_suspects::should_quarantine(const request_identity& request, const tally& sum,
+                                       base::monotonic_time now) {
+    const bool repeated = m_quarantined.contains(request);
+    if (repeated || sum.weighted_crashes >= m_tunables.certain_crashes) {
         return true;
     }
-    // A sum of thirds may fall short of one by rounding.
+    // A sum of thirds may be less than one because of rounding.
     constexpr double rounding = 1e-9;
-    if (counted.weighed < m_tunables.least_crashes ||
-        counted.share + rounding < m_tunables.least_share) {
+    if (sum.weighted_crashes < m_tunables.min_crashes ||
+        sum.share + rounding < m_tunables.min_share) {
         return false;
     }
-    const base::monotonic_time settled = counted.newest + m_tunables.settle;
+    const base::monotonic_time settled = sum.newest + m_tunables.settle;
     if (now >= settled) {
         return true;
     }
-    m_look_at = std::min(settled, m_look_at.value_or(settled));
+    m_next_evaluation = std::min(settled, m_next_evaluation.value_or(settled));
     return false;
 }
 
-void crash_suspects::quarantine(const request_identity& request, const tally& counted,
+void crash_suspects::quarantine(const request_identity& request, const tally& sum,
                                 base::monotonic_time now) {
-    const auto place = m_quarantined.try_emplace(request).first;
-    quarantined_request& entry = place->second;
-    const bool again = entry.crashes > 0;
+    const auto inserted = m_quarantined.try_emplace(request).first;
+    quarantined_request& entry = inserted->second;
+    const bool repeated = entry.crashes > 0;
     const base::duration before = entry.until - entry.since;
     entry.request = request;
     entry.since = now;
-    entry.until = now + (again ? std::min(2 * before, m_tunables.longest_quarantine)
-                               : m_tunables.first_quarantine);
-    entry.times += again ? 1 : 0;
-    entry.crashes += counted.crashes;
-    entry.share += counted.share;
+    entry.until = now + (repeated ? std::min(2 * before, m_tunables.max_quarantine)
+                                  : m_tunables.initial_quarantine);
+    entry.times += repeated ? 1 : 0;
+    entry.crashes += sum.crashes;
+    entry.share += sum.share;
     for (const engine_crash& crash : m_crashes) {
         if (is_charged(crash, request)) {
             entry.engines.push_back(crash.engine);
@@ -232,12 +233,13 @@
     }
     m_new.push_back(entry);
     if (m_quarantined.size() > m_tunables.quarantined) {
-        forget_oldest();
+        evict_oldest();
     }
 }
 
-/// With the crashes charged to it: they must not be charged to others, nor to it again.
-void crash_suspects::forget_oldest() {
+/// Also drops the crashes charged to the request, so that they are not charged to other requests or
+/// to it once more.
+void crash_suspects::evict_oldest() {
     const auto oldest = std::min_element(
         m_quarantined.begin(), m_quarantined.end(),
         [](const auto& a, const auto& b) { return a.second.until < b.second.until; });
--- a/src/ferryroad/core/quarantine/crash_suspects.hpp
+++ b/src/ferryroad/core/quarantine/crash_suspects.hpp
@@ -1,17 +1,19 @@
 /// @file
-/// Which requests end the engines that run them. Every request that was in progress at an engine
-/// when it ended is a candidate; one that was a candidate at several engines is quarantined.
+/// Detects requests that crash the engines that run them. Each request that was in progress at an
+/// engine when it crashed is a candidate; a request that is a candidate of several crashes is
+/// quarantined.
 ///
-/// What tells the cause from those that were merely there:
-/// - a request that has brought output is a candidate only where no silent one was in progress;
-/// - the candidates of a crash share it, and it counts for nobody else once one is quarantined;
-/// - a request whose run ended well of late is none: one that is sent often is in progress at
-///   every engine that ends, whatever ended it.
+/// These rules tell the cause of a crash from requests that were merely in progress:
+/// - A request that has produced output is a candidate only if every request in progress had.
+/// - The candidates of a crash share it. Once one of them is quarantined, the crash counts against
+///   no other.
+/// - A request that recently succeeded is no candidate. A frequent request is in progress at every
+///   engine that crashes, whatever the cause.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
 #include "ferryroad/base/time.hpp"
-#include "ferryroad/core/quarantine/recent_good_ends.hpp"
+#include "ferryroad/core/quarantine/recent_successes.hpp"
 #include "ferryroad/core/quarantine/request_identity.hpp"
 
 #include <cstddef>
@@ -23,138 +25,152 @@
 
 namespace ferryroad::core::quarantine {
 
-/// A request that was in progress at an engine when it ended.
+/// A request that was in progress at an engine when it crashed.
 struct crash_candidate {
     request_identity request;
-    /// It had been there for a moment, and the engine had brought nothing of its answer yet: most
-    /// likely it had just begun to run.
+    /// The engine had the request for a short time and had sent nothing of its answer yet. Most
+    /// likely the request had just started to run.
     bool silent = true;
 
     friend bool operator==(const crash_candidate&, const crash_candidate&) = default;
 };
 
-/// The end of an engine process, as one router saw it.
+/// Crash of an engine process, as observed by one router.
 struct engine_crash {
     base::engine_name engine;
-    base::monotonic_time at{};     ///< When it was noticed: a router that stood still is late.
-    base::monotonic_time began{};  ///< When the newest exchange with it had been begun.
+    base::monotonic_time at{};     ///< Time of detection; late if the router was suspended.
+    base::monotonic_time began{};  ///< Start of the latest exchange with the process.
     std::vector<crash_candidate> candidates;
-    std::uint32_t unnamed = 0;  ///< Further ones in progress there that aren't named.
+    std::uint32_t unnamed = 0;  ///< Number of further requests in progress that are not listed.
 
     friend bool operator==(const engine_crash&, const engine_crash&) = default;
 };
 
-/// Clocks of routers are compared by the ages that they tell: off by the way of a message.
+/// Tolerance for comparing times of different routers. They are exchanged as ages, which are off by
+/// the latency of a message.
 inline constexpr base::duration crash_slack = std::chrono::milliseconds(250);
 
-/// @return whether both tell of one process's end: an exchange that was begun after an end was with
-/// the next process. What an engine says of its start may be behind. Thread-safe.
+/// @return whether both report the crash of the same process. An exchange that started after a
+/// crash was with the next process. The start time that an engine reports is not used, because it
+/// may be outdated. Thread-safe.
 bool is_same_crash(const engine_crash& first, const engine_crash& second);
 
-/// A request that is sent to no engine for a while.
+/// A request that is temporarily not sent to any engine.
 struct quarantined_request {
     request_identity request;
     base::monotonic_time since{};
     base::monotonic_time until{};
-    std::uint32_t crashes = 0;  ///< Engines that had ended with it in progress.
-    double share = 0;           ///< Sum of its shares of these crashes.
-    std::uint32_t times = 1;    ///< That it has been quarantined.
-    std::vector<base::engine_name> engines;
+    std::uint32_t crashes = 0;               ///< Crashes of engines that had it in progress.
+    double share = 0;                        ///< Sum of its shares of these crashes.
+    std::uint32_t times = 1;                 ///< Number of times it has been quarantined.
+    std::vector<base::engine_name> engines;  ///< Engines that crashed with it in progress.
 
     friend bool operator==(const quarantined_request&, const quarantined_request&) = default;
 };
 
 struct suspects_tunables {
-    /// A request is quarantined after so many crashes, whoever else was in progress.
+    /// A request is quarantined after this many crashes, whatever else was in progress.
     std::uint32_t certain_crashes = 3;
-    /// Or after so many, where its shares of them make up one crash; other routers' reports, which
-    /// make shares smaller, have arrived by `settle`.
-    std::uint32_t least_crashes = 2;
-    double least_share = 1.0;
-    /// What a crash counts to one that isn't silent, and its share: four make a verdict. At the
-    /// full weight, a stream that had run for 0.8 and 3.4 s was quarantined after two ends of
-    /// engines that were no request's doing (in 1 of 4 runs of 3,200 to 8,000 dispatches).
-    double running_crash = 0.75;
-    double running_share = 0.25;
+    /// A request is also quarantined after `min_crashes` if its shares of them add up to
+    /// `min_share`. Reports of other routers, which reduce the shares, are waited for during
+    /// `settle`.
+    std::uint32_t min_crashes = 2;
+    double min_share = 1.0;
+    /// Weight of a crash, and of the share of it, for a candidate that has produced output, so that
+    /// four such crashes are needed. With full weight, a stream that had run for 0.8 and 3.4 s was
+    /// quarantined after two crashes that no request had caused (in 1 of 4 runs of 3,200 to 8,000
+    /// dispatches).
+    double running_crash_weight = 0.75;
+    double running_share_weight = 0.25;
     base::duration settle = std::chrono::milliseconds(150);
-    /// Quarantine ends by itself: what made the request end engines may have been mended. A repeat
-    /// that ends another engine is quarantined at once, for twice as long as before.
-    base::duration first_quarantine = std::chrono::minutes(10);
-    base::duration longest_quarantine = std::chrono::hours(24);
-    /// Repeats of one request that lie further apart do no harm worth remembering.
-    base::duration crash_kept = std::chrono::minutes(30);
-    /// A good end speaks for a request so long.
-    base::duration good_end_holds = std::chrono::seconds(10);
-    /// Bounds of memory; the oldest go first. 370 routers before 1,200 engines, of which some 600 a
-    /// second can end as they are back after 2 s: crashes of the last 1.7 s at the least.
+    /// A quarantine expires, since the cause of the crashes may have been fixed. A request that
+    /// crashes another engine afterwards is quarantined at once, for twice as long as before.
+    base::duration initial_quarantine = std::chrono::minutes(10);
+    base::duration max_quarantine = std::chrono::hours(24);
+    /// Time for which crashes are remembered. Requests that crash engines less often do little
+    /// harm.
+    base::duration crash_lifetime = std::chrono::minutes(30);
+    /// Time for which a success clears a request.
+    base::duration success_lifetime = std::chrono::seconds(10);
+    /// Limits on memory; the oldest entries are dropped first. In a deployment of 370 routers and
+    /// 1,200 engines that restart within 2 s, at most about 600 engines crash per second, so that
+    /// at least the crashes of the last 1.7 s are kept.
     std::size_t crashes = 1024;
     std::size_t quarantined = 1024;
-    std::size_t candidates = 64;  ///< Of one crash.
-    /// Between two looks at all crashes, which take 0.23 ms where there are 1,024 of them with
-    /// three candidates each (mean of 50).
+    std::size_t candidates = 64;  ///< Candidates of one crash.
+    /// Minimum interval between two evaluations of all crashes. One takes 0.23 ms for 1,024 crashes
+    /// with three candidates each (mean of 50).
     base::duration look_pace = std::chrono::milliseconds(20);
 };
 
-/// Not thread-safe. Deterministic: the same reports in any order come to the same requests, but
-/// for those that lie within `settle` of each other.
+/// Deterministic: the same reports in any order lead to the same quarantined requests, except for
+/// reports within `settle` of each other. Not thread-safe.
 class crash_suspects {
   public:
     explicit crash_suspects(suspects_tunables tunables = {});
 
-    /// Takes a report of this router's or another one's; one that is told twice changes nothing.
-    /// @return whether it said anything new.
-    bool record_crash(const engine_crash& told, base::monotonic_time now);
-    /// An engine lived through the request: it is no candidate of any crash before, and free.
-    /// @return whether it had been one, or quarantined: others then must be told.
+    /// Records a report of a crash by this or another router. A repeated report has no effect.
+    /// @return whether the report contained anything new.
+    bool record_crash(const engine_crash& report, base::monotonic_time now);
+    /// Records that an engine ran the request successfully. The request is removed from the
+    /// candidates of all earlier crashes and from quarantine.
+    /// @return whether it was a candidate or quarantined, so that other routers must be notified.
     bool record_good_end(const request_identity& request, base::monotonic_time now);
-    /// @return whether a run of the request ended well a short while ago.
+    /// @return whether the request succeeded within `success_lifetime`.
     bool ended_well_lately(const request_identity& request, base::monotonic_time now) const {
-        return m_good_ends.contains(request, now);
+        return m_successes.contains(request, now);
     }
 
-    /// @return its quarantine, or nothing where it may be sent. The pointer holds until the next
-    /// call of a method that isn't const.
+    /// @return the request's quarantine, or null if it may be sent. The pointer is valid until the
+    /// next call of a non-const member function.
     const quarantined_request* find(const request_identity& request, base::monotonic_time now);
-    /// @return whether the request was in progress, as a candidate, when an engine ended.
+    /// @return whether the request is a candidate of any remembered crash.
     bool is_candidate(const request_identity& request) const;
-    /// Those that came into quarantine since the last call.
+    /// @return the requests quarantined since the last call.
     std::vector<quarantined_request> take_new(base::monotonic_time now);
-    /// @return when the next call may find one, by what is known until now; nothing where none
-    /// will.
-    std::optional<base::monotonic_time> next_look() const { return m_look_at; }
+    /// @return when `take_new` may return a request, given the reports so far; nothing if none is
+    /// expected.
+    std::optional<base::monotonic_time> next_look() const { return m_next_evaluation; }
+    /// @return the number of requests in quarantine.
     std::size_t quarantined(base::monotonic_time now) const;
+    /// @return the number of crashes remembered.
     std::size_t crashes() const { return m_crashes.size(); }
 
   private:
     struct tally {
         std::uint32_t crashes = 0;
-        double weighed = 0;  ///< Crashes, those weighed less at which it wasn't silent.
+        double weighted_crashes =
+            0;  ///< Crashes, weighted by `running_crash_weight` if it had produced output.
         double share = 0;
         base::monotonic_time newest{};
     };
     using tallies = std::unordered_map<request_identity, tally>;
 
-    engine_crash* find_crash(const engine_crash& told);
-    bool merge(engine_crash& known, const engine_crash& told) const;
-    void forget_old(base::monotonic_time now);
-    void look(base::monotonic_time now);
+    engine_crash* find_crash(const engine_crash& report);
+    /// @return whether the report contained anything new.
+    bool merge(engine_crash& known, const engine_crash& report) const;
+    void drop_expired(base::monotonic_time now);
+    /// Quarantines the requests that the remembered crashes are enough for.
+    void evaluate(base::monotonic_time now);
     tallies count(base::monotonic_time now) const;
     void add_shares(const engine_crash& crash, tallies& all, base::monotonic_time now) const;
-    /// @return whether a request that is or was quarantined ended the engine.
+    /// @return whether the crash is attributed to a request that is or was quarantined.
     bool is_explained(const engine_crash& crash) const;
-    /// @return whether the tally is enough; `m_look_at` is set where it is but for `settle`.
-    bool convicts(const request_identity& request, const tally& counted, base::monotonic_time now);
-    void quarantine(const request_identity& request, const tally& counted,
-                    base::monotonic_time now);
-    void forget_oldest();
+    /// @return whether the tally suffices for quarantine. If only `settle` has not passed yet,
+    /// `m_next_evaluation` is set to its end.
+    bool should_quarantine(const request_identity& request, const tally& sum,
+                           base::monotonic_time now);
+    void quarantine(const request_identity& request, const tally& sum, base::monotonic_time now);
+    void evict_oldest();
 
     suspects_tunables m_tunables;
-    recent_good_ends m_good_ends;
-    std::deque<engine_crash> m_crashes;  ///< In the order in which they were told.
-    std::unordered_map<request_identity, quarantined_request> m_quarantined;  ///< Ended ones, too.
+    recent_successes m_successes;
+    std::deque<engine_crash> m_crashes;  ///< In order of the reports.
+    /// Includes expired quarantines.
+    std::unordered_map<request_identity, quarantined_request> m_quarantined;
     std::vector<quarantined_request> m_new;
-    std::optional<base::monotonic_time> m_look_at;  ///< Where there is something to find.
-    base::monotonic_time m_looked_at{};
+    std::optional<base::monotonic_time> m_next_evaluation;  ///< Set if an evaluation is due.
+    base::monotonic_time m_last_evaluation{};
 };
 
 }  // namespace ferryroad::core::quarantine
--- a/src/ferryroad/core/quarantine/request_identity.hpp
+++ b/src/ferryroad/core/quarantine/request_identity.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What makes two requests the same, whatever ids, deadlines and routers they come with.
+/// Identity of a request by its content, independent of request ids, deadlines and routers.
 #pragma once
 
 #include "ferryroad/base/hash.hpp"
@@ -10,7 +10,7 @@
 
 namespace ferryroad::core::quarantine {
 
-/// What a request asks for and who asks; equal for its repeats at any router.
+/// Content and caller of a request. Equal for repeats of a request at any router.
 struct request_content {
     std::string_view method;
     std::string_view host;
@@ -19,7 +19,7 @@
     std::string_view body;
 };
 
-/// Digest of a request's content. Immutable value; thread-safe, as all here.
+/// Digest of a request's content. All functions of this file are thread-safe.
 struct request_identity {
     base::wide_hash digest;
 
--- a/src/ferryroad/core/stream/event_splitter.cpp
+++ b/src/ferryroad/core/stream/event_splitter.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::string_view id_field = "id:";
 
-/// @return the value of the last `id` line that holds a number.
+/// @return the value of the last `id` line that starts with a number.
 std::optional<std::uint64_t> id_of(std::string_view event) {
     std::optional<std::uint64_t> id;
     while (!event.empty()) {
--- a/src/ferryroad/core/stream/event_splitter.hpp
+++ b/src/ferryroad/core/stream/event_splitter.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Cuts a server-sent event stream into whole events and reads their ids, without touching
-/// their bytes. No I/O.
+/// Incremental splitter for server-sent event streams. It reads the ids of events and leaves their
+/// bytes unchanged.
 #pragma once
 
 #include <cstdint>
@@ -11,10 +11,10 @@
 
 namespace ferryroad::core::stream {
 
-/// One whole event with the empty line that ends it.
+/// One complete event.
 struct whole_event {
-    std::string bytes;
-    std::optional<std::uint64_t> id;  ///< Nothing where the event has none, or no number.
+    std::string bytes;                ///< Includes the empty line that ends the event.
+    std::optional<std::uint64_t> id;  ///< Nothing if the event has no id or it is not a number.
 
     friend bool operator==(const whole_event&, const whole_event&) = default;
 };
@@ -22,11 +22,12 @@
 /// Not thread-safe.
 class event_splitter {
   public:
+    /// Adds the next bytes of the stream.
     /// @return the events that `bytes` complete, in order.
     std::vector<whole_event> feed(std::string_view bytes);
     /// @return whether the bytes so far end in the middle of an event.
     bool in_event() const { return !m_pending.empty(); }
-    /// @return bytes held back, for bounds on an event's size.
+    /// @return the number of buffered bytes, so that the caller can limit the size of an event.
     std::size_t held_bytes() const { return m_pending.size(); }
 
   private:
--- a/src/ferryroad/core/topology/path_costs.cpp
+++ b/src/ferryroad/core/topology/path_costs.cpp
@@ -13,49 +13,49 @@
     if (took < base::duration{}) {
         return;
     }
-    path& known = m_paths[zone];
-    if (known.current.samples > 0 && now - known.current.began >= m_tunables.window) {
-        known.before = known.current;
+    samples_of_zone& known = m_samples[zone];
+    if (known.current.samples > 0 && now - known.current.started_at >= m_tunables.window) {
+        known.previous = known.current;
         known.current = {};
     }
     if (known.current.samples == 0) {
         known.current = {now, took, 1};
         return;
     }
-    known.current.shortest = std::min(known.current.shortest, took);
+    known.current.minimum = std::min(known.current.minimum, took);
     ++known.current.samples;
 }
 
-bool path_costs::shortest(const base::zone_name& zone, base::monotonic_time now,
-                          base::duration& found) const {
-    const auto known = m_paths.find(zone);
-    if (known == m_paths.end()) {
+bool path_costs::minimum(const base::zone_name& zone, base::monotonic_time now,
+                         base::duration& found) const {
+    const auto known = m_samples.find(zone);
+    if (known == m_samples.end()) {
         return false;
     }
     std::size_t samples = 0;
-    for (const window& one : {known->second.current, known->second.before}) {
-        // What was seen long ago says nothing of the way now.
-        if (one.samples == 0 || now - one.began > 4 * m_tunables.window) {
+    for (const window& one : {known->second.current, known->second.previous}) {
+        // Samples that are too old say nothing about the current latency.
+        if (one.samples == 0 || now - one.started_at > 4 * m_tunables.window) {
             continue;
         }
-        found = samples == 0 ? one.shortest : std::min(found, one.shortest);
+        found = samples == 0 ? one.minimum : std::min(found, one.minimum);
         samples += one.samples;
     }
-    return samples >= m_tunables.least_samples;
+    return samples >= m_tunables.min_samples;
 }
 
-base::duration path_costs::assumed(const base::zone_name& zone) const {
+base::duration path_costs::assumed_round_trip(const base::zone_name& zone) const {
     const bool far = m_zones.between(m_self, zone) == distance::other_region;
-    return far ? m_tunables.assumed_region : base::duration{};
+    return far ? m_tunables.assumed_region_round_trip : base::duration{};
 }
 
 base::duration path_costs::beyond_own(const base::zone_name& zone, base::monotonic_time now) const {
     base::duration there{};
     base::duration here{};
-    if (zone == m_self || !shortest(zone, now, there) || !shortest(m_self, now, here)) {
-        return assumed(zone);
+    if (zone == m_self || !minimum(zone, now, there) || !minimum(m_self, now, here)) {
+        return assumed_round_trip(zone);
     }
-    return std::clamp(there - here, base::duration{}, m_tunables.longest);
+    return std::clamp(there - here, base::duration{}, m_tunables.max_estimate);
 }
 
 }  // namespace ferryroad::core::topology
--- a/src/ferryroad/core/topology/path_costs.hpp
+++ b/src/ferryroad/core/topology/path_costs.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What the way to each zone takes, from this router's own exchanges: the shortest time of late,
-/// beyond what the same takes within the own zone.
+/// Estimates the network latency to each zone from this router's own exchanges: the recent minimum
+/// to the zone less the minimum within the router's own zone.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -15,54 +15,55 @@
 namespace ferryroad::core::topology {
 
 struct path_tunables {
-    /// Until enough was seen: two ways' delay to a zone of another region. Fast fibre takes 10 ms
-    /// for a thousand kilometres there and back; routes are up to twice as long.
-    base::duration assumed_region = std::chrono::milliseconds(40);
-    /// Whatever was seen, no way is taken to be longer: a far zone must stay of use.
-    base::duration longest = std::chrono::milliseconds(400);
-    /// Exchanges of a window, at least, for its shortest to say something.
-    std::size_t least_samples = 8;
-    /// The shortest of this window and the one before it counts: a path that has become longer is
-    /// believed after two windows at the most.
+    /// Round trip assumed to a zone of another region until there are enough samples. Light in
+    /// fibre takes 10 ms for a round trip over 1000 km, and routes are up to twice as long.
+    base::duration assumed_region_round_trip = std::chrono::milliseconds(40);
+    /// Upper limit of an estimate, so that a distant zone remains usable.
+    base::duration max_estimate = std::chrono::milliseconds(400);
+    /// Minimum number of samples for an estimate.
+    std::size_t min_samples = 8;
+    /// The minimum over the current window and the one before it counts, so that an increase of the
+    /// latency takes effect after two windows at most.
     base::duration window = std::chrono::seconds(5);
 };
 
-/// Exchanges take the way there and back, and whatever work and waiting there is: the shortest
-/// ones come close to the way itself. A peer that froze, an engine that was busy or an outlier
-/// makes an exchange longer, never shorter, so that it changes nothing; a negative time, after a
-/// step of a clock, is left out. Not thread-safe.
+/// The duration of an exchange is the network round trip plus processing and queueing, so that the
+/// minimum approaches the round trip. A suspended peer, a busy engine or an outlier only makes an
+/// exchange longer and does not affect the minimum. Negative durations, which a step of a clock can
+/// cause, are ignored. Not thread-safe.
 class path_costs {
   public:
     explicit path_costs(base::zone_name self, zone_map zones = {}, path_tunables tunables = {});
 
-    /// An exchange with something in the zone was answered after `took`. Only exchanges of one kind
-    /// are compared with each other.
+    /// Records an exchange with a peer in the zone. All recorded exchanges must be of the same
+    /// kind, so that they are comparable.
+    /// @param took time until the answer.
     void record(const base::zone_name& zone, base::duration took, base::monotonic_time now);
 
-    /// @return the round trip to the zone beyond that within the own zone, as observed or else
-    /// assumed by the distance; 0 within a region, as long as nothing else was observed.
+    /// @return the round trip to the zone less that within the own zone. Without enough samples it
+    /// is assumed from the distance: 0 within a region.
     base::duration beyond_own(const base::zone_name& zone, base::monotonic_time now) const;
 
   private:
     struct window {
-        base::monotonic_time began{};
-        base::duration shortest{};
+        base::monotonic_time started_at{};
+        base::duration minimum{};
         std::size_t samples = 0;
     };
-    /// The window that is being filled, and the one before.
-    struct path {
+    /// The current window and the one before it.
+    struct samples_of_zone {
         window current;
-        window before;
+        window previous;
     };
 
-    base::duration assumed(const base::zone_name& zone) const;
-    bool shortest(const base::zone_name& zone, base::monotonic_time now,
-                  base::duration& found) const;
+    base::duration assumed_round_trip(const base::zone_name& zone) const;
+    bool minimum(const base::zone_name& zone, base::monotonic_time now,
+                 base::duration& found) const;
 
     base::zone_name m_self;
     zone_map m_zones;
     path_tunables m_tunables;
-    std::map<base::zone_name, path> m_paths;
+    std::map<base::zone_name, samples_of_zone> m_samples;
 };
 
 }  // namespace ferryroad::core::topology
--- a/src/ferryroad/core/topology/zone_map.cpp
+++ b/src/ferryroad/core/topology/zone_map.cpp
@@ -19,7 +19,7 @@
 
 zone_map::zone_map(std::map<base::zone_name, base::region_name> regions)
     : m_regions(std::move(regions)) {
-    m_several = std::any_of(m_regions.begin(), m_regions.end(), [&](const auto& entry) {
+    m_several_regions = std::any_of(m_regions.begin(), m_regions.end(), [&](const auto& entry) {
         return entry.second != m_regions.begin()->second;
     });
 }
@@ -28,7 +28,7 @@
     if (one == other) {
         return distance::same_zone;
     }
-    if (!m_several) {
+    if (!m_several_regions) {
         return distance::other_zone;
     }
     const auto here = m_regions.find(one);
@@ -53,12 +53,12 @@
 parsed_zones parse_zones(const std::vector<std::string>& entries) {
     std::map<base::zone_name, base::region_name> regions;
     for (const std::string& entry : entries) {
-        const std::size_t sign = entry.find('=');
-        if (sign == std::string::npos || sign == 0 || sign + 1 == entry.size()) {
+        const std::size_t separator = entry.find('=');
+        if (separator == std::string::npos || separator == 0 || separator + 1 == entry.size()) {
             return {{}, zone_fault{entry, "ZONE=REGION, neither of them empty"}};
         }
-        const base::zone_name zone(entry.substr(0, sign));
-        const base::region_name region(entry.substr(sign + 1));
+        const base::zone_name zone(entry.substr(0, separator));
+        const base::region_name region(entry.substr(separator + 1));
         const auto [place, added] = regions.try_emplace(zone, region);
         if (!added && place->second != region) {
             return {{}, zone_fault{entry, "one region for each zone"}};
--- a/src/ferryroad/core/topology/zone_map.hpp
+++ b/src/ferryroad/core/topology/zone_map.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Which region each zone lies in, and with it how far two zones are from each other: the one
-/// notion of distance that placing, sharing and reading go by.
+/// Region of each zone, and the distance between zones that follows from it. Placement, state
+/// transfer and reads of tables all use this distance.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -14,55 +14,57 @@
 
 namespace ferryroad::core::topology {
 
-/// From near to far.
+/// Distance between two zones, from near to far.
 enum class distance { same_zone, other_zone, other_region };
 
+/// @return the name of the enumerator.
 std::string_view to_string(distance away);
 
-/// Immutable; thread-safe for that reason.
+/// Immutable, and therefore thread-safe.
 class zone_map {
   public:
-    /// Nothing is told of regions: all zones lie in one.
+    /// No regions are configured: all zones are in the same region.
     zone_map() = default;
     explicit zone_map(std::map<base::zone_name, base::region_name> regions);
 
-    /// @return how far two zones are apart. Where there are several regions, a zone that isn't
-    /// told of lies in none of them: its bytes may be dear.
+    /// @return the distance between two zones. If several regions are configured, an unknown zone
+    /// counts as another region, since traffic to it may be expensive.
     distance between(const base::zone_name& one, const base::zone_name& other) const;
     bool same_region(const base::zone_name& one, const base::zone_name& other) const {
         return between(one, other) != distance::other_region;
     }
-    bool several_regions() const { return m_several; }
+    bool several_regions() const { return m_several_regions; }
     bool empty() const { return m_regions.empty(); }
     bool knows(const base::zone_name& zone) const { return m_regions.contains(zone); }
-    /// @return all that are told of, in the order of their names.
+    /// @return the configured zones, ordered by name.
     std::vector<base::zone_name> zones() const;
-    /// @return nothing for a zone that isn't told of.
+    /// @return the region of a zone; nothing if the zone is not configured.
     std::optional<base::region_name> region_of(const base::zone_name& zone) const;
 
     friend bool operator==(const zone_map&, const zone_map&) = default;
 
   private:
     std::map<base::zone_name, base::region_name> m_regions;
-    bool m_several = false;
+    bool m_several_regions = false;
 };
 
-/// A list of zones that can't be used.
+/// Error in a list of zones.
 struct zone_fault {
-    std::string entry;  ///< The one at fault.
-    std::string expected;
+    std::string entry;     ///< The invalid entry.
+    std::string expected;  ///< Description of a valid entry.
 
     friend bool operator==(const zone_fault&, const zone_fault&) = default;
 };
 
-/// The outcome of reading a list: `fault` says why `zones` is empty.
+/// Result of parsing a list of zones. `zones` is empty if `fault` is set.
 struct parsed_zones {
     zone_map zones;
     std::optional<zone_fault> fault;
 };
 
-/// @param entries `ZONE=REGION` each. A zone without a region, or told twice with two regions,
-/// is a fault. Thread-safe.
+/// Parses a list of zones. An entry without a zone or region, and a zone with two different
+/// regions, is an error. Thread-safe.
+/// @param entries one `ZONE=REGION` each.
 parsed_zones parse_zones(const std::vector<std::string>& entries);
 
 }  // namespace ferryroad::core::topology
--- a/src/ferryroad/core/traffic/traffic_policy.hpp
+++ b/src/ferryroad/core/traffic/traffic_policy.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What operators declare about relayed traffic: routes by host and path, weighted pools,
-/// tenants with several keys, and the limits towards callers. One immutable value a version.
+/// Traffic policy declared by operators: routes by host and path, weighted pools, tenants with API
+/// keys, and limits for callers. Each version is one immutable value.
 #pragma once
 
 #include "ferryroad/base/endpoint.hpp"
@@ -17,14 +17,14 @@
 
 namespace ferryroad::core::traffic {
 
-/// What may be done with a request whose fate is not known.
+/// How a request may be retried if its outcome is unknown.
 enum class request_kind {
     safe,      ///< May run more than once.
     unsafe,    ///< Runs at most once.
-    streaming  ///< Answered by numbered events; may be resumed only where the route says so.
+    streaming  ///< Answered by numbered events; resumed only if the route is `resumable`.
 };
 
-/// A pool's part of a route's requests.
+/// Weight of a pool in the distribution of a route's requests.
 struct pool_share {
     base::pool_name pool;
     std::uint32_t weight = 1;
@@ -37,36 +37,36 @@
     std::string host;
     std::string path_prefix;  ///< Begins and ends with a slash.
     request_kind kind = request_kind::unsafe;
-    base::duration timeout{};         ///< Longest that a request is held.
-    base::duration target_latency{};  ///< Within it an answer has its full worth.
-    base::duration target_gap{};      ///< Longest pause between events that is still in time.
-    std::uint32_t priority = 0;       ///< 0 is the most urgent.
+    base::duration timeout{};         ///< Maximum time until a request ends.
+    base::duration target_latency{};  ///< Latency target for answers.
+    base::duration target_gap{};      ///< Longest acceptable gap between two events of a stream.
+    std::uint32_t priority = 0;       ///< 0 is the highest priority.
     std::vector<pool_share> pools;    ///< At least one.
-    std::uint32_t attempts = 1;       ///< Most engines that one request may run on.
-    bool is_public = false;           ///< Needs no key.
-    bool resumable = false;           ///< A broken stream may go on at another engine.
+    std::uint32_t attempts = 1;       ///< Maximum number of engines that a request may run on.
+    bool is_public = false;           ///< Requests need no key.
+    bool resumable = false;           ///< A broken stream may continue at another engine.
 
     friend bool operator==(const route&, const route&) = default;
 };
 
-/// Figures of a pool whose engines run models.
+/// Capacity of the engines of a pool that runs a model.
 struct model_engine_figures {
-    std::uint32_t slots = 1;               ///< Requests that run at once in one engine.
-    std::uint64_t kv_capacity_tokens = 0;  ///< Memory of one engine.
-    double kv_token_bytes = 0;
+    std::uint32_t slots = 1;               ///< Maximum number of concurrent requests per engine.
+    std::uint64_t kv_capacity_tokens = 0;  ///< Size of an engine's KV cache in tokens.
+    double kv_token_bytes = 0;             ///< Size of one token in the KV cache, in bytes.
 
     friend bool operator==(const model_engine_figures&, const model_engine_figures&) = default;
 };
 
 struct pool {
     base::pool_name name;
-    std::uint32_t connection_limit = 0;         ///< Of one engine, from all callers; 0: none.
+    std::uint32_t connection_limit = 0;  ///< Limit of one engine over all its clients; 0: none.
     std::optional<model_engine_figures> model;  ///< Nothing for application services.
 
     friend bool operator==(const pool&, const pool&) = default;
 };
 
-/// Shared store of computed prompt state, beside the engines' own memory.
+/// External store for KV cache state, shared by engines.
 struct state_store {
     base::endpoint address;
     base::zone_name zone;
@@ -74,30 +74,31 @@
     friend bool operator==(const state_store&, const state_store&) = default;
 };
 
-/// What a tenant's requests count against its limit.
+/// Unit of a tenant's quota.
 enum class quota_unit {
-    requests,  ///< Each counts 1.
-    tokens     ///< The prompt's and those that its answer is expected to have.
+    requests,  ///< Each request counts 1.
+    tokens     ///< Each request counts the tokens of its prompt and its expected answer.
 };
 
-/// A tenant's limit over all routers together.
+/// Quota of a tenant over all routers together.
 struct tenant_quota {
     quota_unit unit = quota_unit::requests;
-    double per_second = 0;            ///< Above 0.
-    double burst = 0;                 ///< Beyond it, at one moment.
-    std::uint64_t untold_tokens = 0;  ///< What a request counts that tells no tokens.
+    double per_second = 0;            ///< Rate in `unit` per second, above 0.
+    double burst = 0;                 ///< Burst beyond the rate, in `unit`.
+    std::uint64_t untold_tokens = 0;  ///< Tokens counted for a request that declares none.
 
     friend bool operator==(const tenant_quota&, const tenant_quota&) = default;
 };
 
-/// @param told_tokens of a request, where it tells any. @return what it counts. Thread-safe.
-double counted_amount(const tenant_quota& quota, std::optional<std::uint64_t> told_tokens);
+/// @param declared_tokens tokens of the request's prompt and expected answer, if it declares them.
+/// @return the amount that a request counts against the quota. Thread-safe.
+double counted_amount(const tenant_quota& quota, std::optional<std::uint64_t> declared_tokens);
 
 struct tenant {
     base::tenant_name name;
-    std::vector<std::string> keys;
-    std::optional<std::uint32_t> priority;  ///< Goes before the route's.
-    bool isolated = false;                  ///< Shares no prompt state with other tenants.
+    std::vector<std::string> keys;          ///< API keys.
+    std::optional<std::uint32_t> priority;  ///< Overrides the priority of the route.
+    bool isolated = false;                  ///< Shares no cached prompt state with other tenants.
     std::optional<tenant_quota> quota;      ///< Nothing: no limit.
 
     friend bool operator==(const tenant&, const tenant&) = default;
@@ -112,7 +113,7 @@
     friend bool operator==(const caller_limits&, const caller_limits&) = default;
 };
 
-/// The declared parts, as a decoder hands them over.
+/// Contents of a traffic policy, as decoded.
 struct declaration {
     std::uint64_t version = 0;
     std::vector<route> routes;
@@ -124,8 +125,7 @@
     friend bool operator==(const declaration&, const declaration&) = default;
 };
 
-/// A declaration with its look-up tables. Immutable after construction, so that any number of
-/// requests may share one; thread-safe for that reason.
+/// A declaration with its lookup tables. Immutable after construction, and therefore thread-safe.
 class traffic_policy {
   public:
     /// @param declared with unique names; a route's pools need not all exist.
@@ -134,11 +134,13 @@
     std::uint64_t version() const { return m_declared.version; }
     const declaration& declared() const { return m_declared; }
 
-    /// @param path without the query. @return of the host's routes the one with the longest
-    /// prefix that begins the path, or null. The pointer lives as long as the policy.
+    /// @param path path without the query.
+    /// @return the host's route with the longest prefix of the path, or null. The pointer is valid
+    /// as long as the policy.
     const route* find_route(std::string_view host, std::string_view path) const;
-    /// @return the holder of a key, or null.
+    /// @return the tenant with the API key, or null. The pointer is valid as long as the policy.
     const tenant* find_tenant(std::string_view key) const;
+    /// @return the pool with the name, or null. The pointer is valid as long as the policy.
     const pool* find_pool(const base::pool_name& name) const;
     /// @return whether requests on the route must carry a key.
     bool needs_key(const route& on) const;
@@ -153,12 +155,12 @@
     std::unordered_map<std::string, std::size_t> m_tenant_of_key;
 };
 
-/// Parts of one route's requests over its pools, kept to their weights over any run of
-/// requests (smooth weighted round robin). Not thread-safe.
+/// Distributes a route's requests over its pools by smooth weighted round robin, which follows the
+/// weights in any sequence of requests. Not thread-safe.
 class weighted_rotation {
   public:
-    /// @param pools at least one. @return the pool of the next request. A change of the shares
-    /// begins a new rotation.
+    /// @param pools at least one. A change of the weights starts a new rotation.
+    /// @return the pool of the next request.
     const base::pool_name& next(const std::vector<pool_share>& pools);
 
   private:
--- a/test/core/canary/canary_trial_test.cpp
+++ b/test/core/canary/canary_trial_test.cpp
@@ -119,7 +119,7 @@
     cr_assert(evaluate(trial, counts, answers(9000), answers(800)).found == verdict::good);
     const auto found = evaluate(trial, counts, answers(200), answers(9, 7));
     cr_assert(found.found == verdict::bad);
-    cr_assert(judge(counts).found == verdict::good, "the totals alone don't show the change");
+    cr_assert(judge(counts).found == verdict::good, "the counts as a whole don't show the change");
     cr_assert(trial.at_deadline() == verdict::bad);
 }
 
--- a/test/core/execution/request_execution_property_test.cpp
+++ b/test/core/execution/request_execution_property_test.cpp
@@ -1,5 +1,5 @@
-/// In any order of events, the execution machine agrees with a model that only counts what
-/// was sent, what was proven and what was emitted.
+/// For any order of events, the state machine agrees with a model that only counts what was sent,
+/// proven not run and emitted.
 #include "ferryroad/core/admission/retry_budget.hpp"
 #include "ferryroad/core/execution/request_execution.hpp"
 
@@ -18,10 +18,11 @@
 constexpr base::duration deadline = std::chrono::seconds(10);
 constexpr std::size_t script_length = 60;
 
-/// One drawn event; `skew` 0 means "what the machine waits for", other values miss it.
+/// One generated event. With `offset` 0 it refers to what the state machine expects, with other
+/// values to something else.
 struct step {
     int kind = 0;
-    std::uint32_t skew = 0;
+    std::uint32_t offset = 0;
     int detail = 0;
     int failure = 0;
     int proof = 0;
@@ -32,7 +33,7 @@
     return rc::gen::build<step>(
         rc::gen::set(&step::kind, rc::gen::weightedElement<int>(
                                       {{4, 0}, {8, 1}, {1, 2}, {4, 3}, {12, 4}, {1, 5}, {8, 6}})),
-        rc::gen::set(&step::skew,
+        rc::gen::set(&step::offset,
                      rc::gen::weightedElement<std::uint32_t>({{8, 0}, {1, 1}, {1, 2}})),
         rc::gen::set(&step::detail, rc::gen::inRange(0, 8)),
         rc::gen::set(&step::failure, rc::gen::inRange(0, 9)),
@@ -40,25 +41,25 @@
         rc::gen::set(&step::late, rc::gen::weightedElement<bool>({{60, false}, {1, true}})));
 }
 
-/// What an outside observer knows, from actions and events alone.
+/// Reference model, derived from the actions and events alone.
 class model {
   public:
     explicit model(execution_rules rules) : rules_(rules) {}
 
     void observe(const event& happened) {
-        whole_ = false;
+        answer_complete_ = false;
         if (const auto* started = std::get_if<exchange_started>(&happened)) {
-            note_progress(started->exchange);
+            record_progress(started->exchange);
         } else if (const auto* token = std::get_if<token_received>(&happened)) {
-            note_progress(token->exchange);
+            record_progress(token->exchange);
             close_if(token->exchange, token->index != emitted_);
         } else if (const auto* ended = std::get_if<exchange_ended>(&happened)) {
             const bool counts = !rules_.streamed || ended->tokens == emitted_;
-            whole_ = is_live(ended->exchange) && counts;
-            note_progress(ended->exchange);
+            answer_complete_ = is_live(ended->exchange) && counts;
+            record_progress(ended->exchange);
             close_if(ended->exchange, true);
         } else if (const auto* failed = std::get_if<exchange_failed>(&happened)) {
-            note_failure(*failed);
+            record_failure(*failed);
         }
     }
 
@@ -80,7 +81,7 @@
             RC_ASSERT(token->index == emitted_);
             ++emitted_;
         } else if (const auto* done = std::get_if<finish>(&wanted)) {
-            RC_ASSERT(whole_);
+            RC_ASSERT(answer_complete_);
             RC_ASSERT(done->tokens == emitted_);
             complete_ = true;
             ++answers_;
@@ -109,7 +110,7 @@
   private:
     bool is_live(exchange_number exchange) const { return live_ != 0 && live_ == exchange.value; }
 
-    void note_progress(exchange_number exchange) {
+    void record_progress(exchange_number exchange) {
         if (is_live(exchange)) {
             progressed_.insert(attempt_of_.at(live_));
         }
@@ -121,7 +122,7 @@
         }
     }
 
-    void note_failure(const exchange_failed& failed) {
+    void record_failure(const exchange_failed& failed) {
         if (!is_live(failed.exchange)) {
             return;
         }
@@ -143,14 +144,14 @@
     std::map<std::uint32_t, std::uint32_t> attempt_of_;
     std::set<std::uint32_t> may_have_run_, progressed_, resumes_;
     std::uint32_t live_ = 0, last_ = 0, emitted_ = 0;
-    bool granted_ = false, whole_ = false, complete_ = false;
+    bool granted_ = false, answer_complete_ = false, complete_ = false;
     int answers_ = 0, settlements_ = 0;
 };
 
-event event_of(const step& drawn, const model& known) {
-    const std::uint32_t skewed =
-        known.last_exchange() >= drawn.skew ? known.last_exchange() - drawn.skew : 99;
-    const exchange_number exchange(skewed);
+event event_of(const step& drawn, const model& reference) {
+    const std::uint32_t referred =
+        reference.last_exchange() >= drawn.offset ? reference.last_exchange() - drawn.offset : 99;
+    const exchange_number exchange(referred);
     switch (drawn.kind) {
         case 0:
             return claim_answered{drawn.detail < 4 ? claim_decision::granted
@@ -163,35 +164,35 @@
         case 3:
             return exchange_started{exchange};
         case 4:
-            return token_received{exchange, known.emitted() + (drawn.detail == 0 ? 1 : 0)};
+            return token_received{exchange, reference.emitted() + (drawn.detail == 0 ? 1 : 0)};
         case 5:
-            return exchange_ended{exchange, known.emitted() + (drawn.detail == 0 ? 1 : 0)};
+            return exchange_ended{exchange, reference.emitted() + (drawn.detail == 0 ? 1 : 0)};
         default:
             return exchange_failed{exchange, static_cast<failure_kind>(drawn.failure),
                                    static_cast<failure_proof>(drawn.proof)};
     }
 }
 
-void play(const execution_rules& rules, const std::vector<step>& script) {
+void run(const execution_rules& rules, const std::vector<step>& script) {
     request_execution machine(rules);
-    model known(rules);
+    model reference(rules);
     ferryroad::core::admission::retry_budget budget(0.1);
     base::monotonic_time now = start;
     const auto feed = [&](const event& happened) {
         const auto* claimed = std::get_if<claim_answered>(&happened);
         const bool granted = claimed && claimed->decision == claim_decision::granted;
-        known.observe(happened);
+        reference.observe(happened);
         const action_list wanted = machine.handle(happened, now, budget);
         if (granted && !wanted.empty()) {
-            known.grant();
+            reference.grant();
         }
         for (const action& each : wanted) {
-            known.observe(each);
+            reference.observe(each);
         }
-        RC_ASSERT(machine.ended() == (known.answers() == 1));
+        RC_ASSERT(machine.ended() == (reference.answers() == 1));
     };
     for (const action& each : machine.begin(now)) {
-        known.observe(each);
+        reference.observe(each);
     }
     for (const step& drawn : script) {
         now += std::chrono::milliseconds(10);
@@ -199,12 +200,12 @@
             now += deadline;
             feed(drawn.detail % 2 == 0 ? event(deadline_passed{}) : event(caller_gone{}));
         }
-        feed(event_of(drawn, known));
+        feed(event_of(drawn, reference));
     }
     feed(deadline_passed{});
     RC_ASSERT(machine.ended());
-    RC_ASSERT(known.answers() == 1);
-    RC_ASSERT(known.settled_as_needed());
+    RC_ASSERT(reference.answers() == 1);
+    RC_ASSERT(reference.settled_as_needed());
 }
 
 }  // namespace
@@ -217,7 +218,7 @@
             rules.claimed = *rc::gen::arbitrary<bool>();
             rules.streamed = *rc::gen::arbitrary<bool>();
             rules.deadline = start + deadline;
-            play(rules, *rc::gen::container<std::vector<step>>(script_length, any_step()));
+            run(rules, *rc::gen::container<std::vector<step>>(script_length, any_step()));
         }
     }));
 }
--- a/test/core/execution/request_execution_test.cpp
+++ b/test/core/execution/request_execution_test.cpp
@@ -1,4 +1,4 @@
-/// What the execution machine does about each failure, row by row.
+/// Reaction of the state machine to each kind of failure.
 #include "ferryroad/core/execution/request_execution.hpp"
 
 #include "ferryroad/core/admission/retry_budget.hpp"
@@ -20,7 +20,7 @@
 struct row {
     const char* name;
     bool repeatable;
-    std::uint32_t tokens;  ///< Received before the failure.
+    std::uint32_t tokens;  ///< Tokens received before the failure.
     failure_kind kind;
     failure_proof proof;
     next then;
@@ -30,7 +30,7 @@
 
 using enum failure_kind;
 using enum failure_proof;
-constexpr auto none = refusal_reason::caller_gone;  // Where nothing is refused.
+constexpr auto none = refusal_reason::caller_gone;  // Placeholder in rows without a refusal.
 constexpr row rows[] = {
     {"connect failed", true, 0, unreachable, not_sent, next::retries, none, {}},
     {"connect failed, once only", false, 0, unreachable, not_sent, next::retries, none, {}},
@@ -75,7 +75,7 @@
     return {{base::engine_name(name), base::incarnation(7)}};
 }
 
-/// A machine whose first attempt runs on engine "a" and has emitted some tokens.
+/// A state machine whose first attempt runs on engine "a" and has emitted `tokens` tokens.
 struct running {
     explicit running(const execution_rules& rules, std::uint32_t tokens = 0)
         : machine(rules), budget(0.1) {
--- a/test/core/quarantine/crash_suspects_test.cpp
+++ b/test/core/quarantine/crash_suspects_test.cpp
@@ -1,5 +1,5 @@
-/// Who is charged with the end of an engine: the request that ended it, and hardly ever one that
-/// was merely in progress.
+/// A crash is charged to the request that caused it, and hardly ever to one that was merely in
+/// progress.
 #include "ferryroad/core/quarantine/crash_suspects.hpp"
 
 #include "ferryroad/base/random.hpp"
@@ -54,12 +54,12 @@
     cr_assert_null(suspects.find(request(2), start + 3s));
 }
 
-Test(crash_suspects, other_routers_reports_are_waited_for) {
+Test(crash_suspects, reports_of_other_routers_are_waited_for) {
     crash_suspects suspects;
     suspects.record_crash(crash("a", start, {1}), start);
     suspects.record_crash(crash("b", start + 2s, {1}), start + 2s);
     cr_assert_null(suspects.find(request(1), start + 2s));
-    // Another router had two more in progress at each of the two.
+    // Another router had two more requests in progress at each of the two engines.
     suspects.record_crash(crash("a", start, {2, 3}), start + 2s + 30ms);
     suspects.record_crash(crash("b", start + 2s, {4, 5}), start + 2s + 30ms);
     cr_assert_null(suspects.find(request(1), start + 10s), "a third of two crashes");
@@ -67,7 +67,7 @@
     cr_assert_not_null(suspects.find(request(1), start + 12s), "three are enough");
 }
 
-Test(crash_suspects, who_has_brought_output_is_charged_only_where_nobody_is_silent) {
+Test(crash_suspects, a_request_with_output_is_charged_only_if_no_silent_one_ran) {
     crash_suspects suspects;
     for (int number = 0; number < 4; ++number) {
         const auto at = start + number * 2s;
@@ -76,13 +76,13 @@
     cr_assert_null(suspects.find(request(1), start + 20s));
     for (int number = 0; number < 4; ++number) {
         const auto at = start + 30s + number * 2s;
-        cr_assert_null(suspects.find(request(1), at), "it had run well so far");
+        cr_assert_null(suspects.find(request(1), at), "silent requests were in progress");
         suspects.record_crash(crash("b" + std::to_string(number), at, {}, {1}), at);
     }
     cr_assert_not_null(suspects.find(request(1), start + 40s));
 }
 
-Test(crash_suspects, a_crash_counts_for_nobody_else_once_its_cause_is_known) {
+Test(crash_suspects, a_crash_counts_against_no_other_request_once_its_cause_is_known) {
     crash_suspects suspects;
     for (int number = 0; number < 4; ++number) {
         const auto at = start + number * 2s;
@@ -90,13 +90,13 @@
     }
     cr_assert_not_null(suspects.find(request(1), start + 8s));
     for (int number = 0; number < 4; ++number) {
-        const auto at = start + 8s + number * 10ms;  // It was on its way already.
+        const auto at = start + 8s + number * 10ms;  // These requests were dispatched before.
         suspects.record_crash(crash("b" + std::to_string(number), at, {1, 2}), at);
     }
     cr_assert_null(suspects.find(request(2), start + 20s));
 }
 
-Test(crash_suspects, a_good_end_clears) {
+Test(crash_suspects, a_success_clears_a_request) {
     crash_suspects suspects;
     suspects.record_crash(crash("a", start, {1}), start);
     cr_assert(suspects.record_good_end(request(1), start + 1s));
@@ -110,7 +110,7 @@
     cr_assert_null(suspects.find(request(1), start + 32s));
 }
 
-Test(crash_suspects, one_that_is_sent_often_is_not_charged) {
+Test(crash_suspects, a_frequent_request_is_not_charged) {
     crash_suspects suspects;
     for (int number = 0; number < 50; ++number) {
         const auto at = start + number * 400ms;
@@ -120,11 +120,11 @@
     }
 }
 
-Test(crash_suspects, one_end_is_one_crash_whoever_tells_it) {
+Test(crash_suspects, reports_of_several_routers_count_as_one_crash) {
     crash_suspects suspects;
-    for (int teller = 0; teller < 7; ++teller) {
-        // The last ones stood still as the engine ended.
-        engine_crash late = crash("a", start + teller * 600ms, {1});
+    for (int reporter = 0; reporter < 7; ++reporter) {
+        // The last routers were suspended when the engine crashed and report it late.
+        engine_crash late = crash("a", start + reporter * 600ms, {1});
         late.began = start - 20ms;
         suspects.record_crash(late, start + 5s);
     }
@@ -133,7 +133,7 @@
     cr_assert_not(suspects.record_crash(crash("a", start, {1}), start + 11s), "nothing new");
 }
 
-Test(crash_suspects, what_began_after_an_end_was_with_the_next_process) {
+Test(crash_suspects, exchanges_after_a_crash_were_with_the_next_process) {
     crash_suspects suspects;
     suspects.record_crash(crash("a", start, {1}), start);
     suspects.record_crash(crash("a", start + 3s, {1}), start + 3s);
@@ -143,12 +143,12 @@
     cr_assert_eq(suspects.crashes(), 2, "another router's report of the second end");
 }
 
-Test(crash_suspects, quarantine_ends_and_comes_back_longer) {
+Test(crash_suspects, a_repeated_quarantine_lasts_longer) {
     crash_suspects suspects;
     suspects.record_crash(crash("a", start, {1}), start);
     suspects.record_crash(crash("b", start + 2s, {1}), start + 2s);
     cr_assert_not_null(suspects.find(request(1), start + 3s));
-    cr_assert_null(suspects.find(request(1), start + 11min), "what was wrong may be mended");
+    cr_assert_null(suspects.find(request(1), start + 11min), "the quarantine has expired");
     suspects.record_crash(crash("c", start + 12min, {1}), start + 12min);
     cr_assert_not_null(suspects.find(request(1), start + 12min + 1s), "one is enough now");
     cr_assert_not_null(suspects.find(request(1), start + 31min));
@@ -171,7 +171,7 @@
     }
 }
 
-Test(crash_suspects, reports_in_any_order_come_to_the_same) {
+Test(crash_suspects, the_order_of_reports_does_not_matter) {
     rc::check([] {
         std::vector<engine_crash> reports;
         const int crashes = *rc::gen::inRange(1, 12);
@@ -202,12 +202,12 @@
 
 namespace {
 
-/// Engines with requests in progress, of which some end engines; callers repeat what was lost.
+/// Simulated pool in which some requests crash engines. Callers repeat requests that were lost.
 struct pool_model {
     std::size_t engines = 8;
     double ordinary_per_s = 80;
     std::size_t bad = 3;
-    double bad_per_s = 8;  ///< Of each.
+    double bad_per_s = 8;  ///< Rate of each bad request.
     double random_crashes_per_s = 0;
     double seconds = 30;
 };
@@ -215,7 +215,7 @@
 struct model_result {
     std::size_t ordinary = 0;
     std::size_t ordinary_refused = 0;
-    std::map<std::uint64_t, std::size_t> ended_by;  ///< Engines, by bad request.
+    std::map<std::uint64_t, std::size_t> crashed_by;  ///< Number of crashes by bad request.
 };
 
 struct running_request {
@@ -224,13 +224,13 @@
 };
 
 constexpr double step_s = 0.001;
-constexpr double work_s = 0.05;
+constexpr double run_s = 0.05;
 constexpr double crash_after_s = 0.02;
 constexpr double restart_s = 2.2;
 constexpr std::size_t slots = 8;
 constexpr std::uint64_t first_ordinary = 1000;
 
-model_result play(const pool_model& model, std::uint64_t seed) {
+model_result simulate(const pool_model& model, std::uint64_t seed) {
     base::seeded_random random(seed);
     crash_suspects suspects;
     std::vector<std::vector<running_request>> running(model.engines);
@@ -239,12 +239,12 @@
     model_result result;
     std::uint64_t next = first_ordinary;
     const auto moment = [](double seconds) { return start + base::from_seconds(seconds); };
-    const auto end_engine = [&](std::size_t index, double at) {
+    const auto crash_engine = [&](std::size_t index, double at) {
         std::vector<std::uint64_t> in_progress;
         for (const running_request& one : running[index]) {
             in_progress.push_back(one.number);
             if (one.number >= first_ordinary) {
-                repeats.push_back(one.number);  // Its caller tries again.
+                repeats.push_back(one.number);  // The caller retries.
             }
         }
         running[index].clear();
@@ -255,14 +255,14 @@
     const auto send = [&](std::uint64_t number, double at) {
         const std::size_t index = random.below(model.engines);
         if (at < back_at[index] || running[index].size() >= slots) {
-            return;  // Refused by the engine as not run.
+            return;  // The engine is down or full and refuses the request.
         }
         if (suspects.find(request(number), moment(at)) != nullptr) {
             result.ordinary_refused += number >= first_ordinary ? 1 : 0;
             return;
         }
         const bool is_bad = number < first_ordinary;
-        running[index].push_back({number, at + (is_bad ? crash_after_s : work_s)});
+        running[index].push_back({number, at + (is_bad ? crash_after_s : run_s)});
     };
     for (double at = 0; at < model.seconds; at += step_s) {
         if (random.unit() < model.ordinary_per_s * step_s) {
@@ -281,7 +281,7 @@
             const bool by_chance = random.unit() < model.random_crashes_per_s * step_s /
                                                        static_cast<double>(model.engines);
             if (by_chance && at >= back_at[index]) {
-                end_engine(index, at);
+                crash_engine(index, at);
                 continue;
             }
             for (const running_request& one : std::vector(running[index])) {
@@ -289,8 +289,8 @@
                     continue;
                 }
                 if (one.number < first_ordinary) {
-                    ++result.ended_by[one.number];
-                    end_engine(index, at);
+                    ++result.crashed_by[one.number];
+                    crash_engine(index, at);
                     break;
                 }
                 suspects.record_good_end(request(one.number), moment(at));
@@ -306,22 +306,22 @@
 
 Test(crash_suspects, bad_requests_are_found_and_ordinary_ones_served) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-        const model_result result = play({}, seed);
+        const model_result result = simulate({}, seed);
         cr_assert_leq(result.ordinary_refused * 1000, result.ordinary, "seed %lu: %zu of %zu", seed,
                       result.ordinary_refused, result.ordinary);
-        for (const auto& [number, ended] : result.ended_by) {
+        for (const auto& [number, ended] : result.crashed_by) {
             cr_assert_leq(ended, 5, "seed %lu: request %lu ended %zu engines", seed, number, ended);
         }
     }
 }
 
-Test(crash_suspects, engines_that_end_by_chance_make_no_request_refused) {
+Test(crash_suspects, random_crashes_hardly_ever_quarantine_a_request) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         pool_model model;
         model.bad = 0;
         model.ordinary_per_s = 800;
         model.random_crashes_per_s = 2;
-        const model_result result = play(model, seed);
+        const model_result result = simulate(model, seed);
         cr_assert_leq(result.ordinary_refused * 1000, result.ordinary, "seed %lu: %zu of %zu", seed,
                       result.ordinary_refused, result.ordinary);
     }
--- a/test/core/stream/event_splitter_test.cpp
+++ b/test/core/stream/event_splitter_test.cpp
@@ -1,4 +1,4 @@
-/// Event streams cut anywhere give the same whole events.
+/// The splitter returns the same events however the stream is divided into reads.
 #include "ferryroad/core/stream/event_splitter.hpp"
 
 #include "ferryroad/base/random.hpp"
--- a/test/core/topology/path_costs_test.cpp
+++ b/test/core/topology/path_costs_test.cpp
@@ -1,4 +1,4 @@
-/// Which round trips are believed: the shortest of late, whatever else was slow.
+/// Latency estimates use the recent minimum and are not affected by slow exchanges.
 #include "ferryroad/core/topology/path_costs.hpp"
 
 #include <criterion/criterion.h>
@@ -18,8 +18,8 @@
     return path_costs(own, parse_zones({"own=one", "near=one", "far=two"}).zones);
 }
 
-void see(path_costs& paths, const base::zone_name& zone, base::duration took, int times,
-         base::monotonic_time now = start) {
+void record_times(path_costs& paths, const base::zone_name& zone, base::duration took, int times,
+                  base::monotonic_time now = start) {
     for (int index = 0; index < times; ++index) {
         paths.record(zone, took, now);
     }
@@ -27,53 +27,53 @@
 
 }  // namespace
 
-Test(path_costs, distances_tell_until_enough_was_seen) {
+Test(path_costs, distances_are_used_until_there_are_enough_samples) {
     path_costs paths = costs();
     cr_assert(paths.beyond_own(own, start) == 0ms);
     cr_assert(paths.beyond_own(near, start) == 0ms);
     cr_assert(paths.beyond_own(far, start) == 40ms);
-    see(paths, far, 5ms, 100);
-    cr_assert(paths.beyond_own(far, start) == 40ms);  // Nothing to compare it with.
-    see(paths, own, 1ms, 7);
+    record_times(paths, far, 5ms, 100);
+    cr_assert(paths.beyond_own(far, start) == 40ms);  // There are no samples of the own zone yet.
+    record_times(paths, own, 1ms, 7);
     cr_assert(paths.beyond_own(far, start) == 40ms);
-    see(paths, own, 1ms, 1);
+    record_times(paths, own, 1ms, 1);
     cr_assert(paths.beyond_own(far, start) == 4ms);
 }
 
-Test(path_costs, slow_exchanges_and_steps_of_a_clock_change_nothing) {
+Test(path_costs, slow_exchanges_and_clock_steps_have_no_effect) {
     path_costs paths = costs();
-    see(paths, own, 2ms, 20);
-    see(paths, far, 42ms, 20);
-    see(paths, far, 3s, 200);
-    see(paths, own, 1s, 200);
-    see(paths, far, -5s, 3);
+    record_times(paths, own, 2ms, 20);
+    record_times(paths, far, 42ms, 20);
+    record_times(paths, far, 3s, 200);
+    record_times(paths, own, 1s, 200);
+    record_times(paths, far, -5s, 3);
     cr_assert(paths.beyond_own(far, start) == 40ms);
 }
 
-Test(path_costs, a_longer_way_is_believed_after_two_windows) {
+Test(path_costs, an_increased_latency_takes_effect_after_two_windows) {
     path_costs paths = costs();
     for (int second = 0; second < 20; ++second) {
         const base::duration way = second < 6 ? 20ms : 60ms;
-        see(paths, own, 1ms, 10, start + std::chrono::seconds(second));
-        see(paths, far, way + 1ms, 10, start + std::chrono::seconds(second));
+        record_times(paths, own, 1ms, 10, start + std::chrono::seconds(second));
+        record_times(paths, far, way + 1ms, 10, start + std::chrono::seconds(second));
     }
     cr_assert(paths.beyond_own(far, start + 19s) == 60ms);
 }
 
-Test(path_costs, a_zone_that_is_no_longer_heard_is_assumed_again) {
+Test(path_costs, outdated_samples_are_ignored) {
     path_costs paths = costs();
-    see(paths, own, 1ms, 10);
-    see(paths, far, 301ms, 10);
+    record_times(paths, own, 1ms, 10);
+    record_times(paths, far, 301ms, 10);
     cr_assert(paths.beyond_own(far, start) == 300ms);
-    see(paths, own, 1ms, 10, start + 60s);
+    record_times(paths, own, 1ms, 10, start + 60s);
     cr_assert(paths.beyond_own(far, start + 60s) == 40ms);
 }
 
-Test(path_costs, a_way_is_never_negative_nor_endless) {
+Test(path_costs, estimates_are_bounded) {
     path_costs paths = costs();
-    see(paths, own, 50ms, 10);
-    see(paths, near, 10ms, 10);
-    see(paths, far, 5s, 10);
+    record_times(paths, own, 50ms, 10);
+    record_times(paths, near, 10ms, 10);
+    record_times(paths, far, 5s, 10);
     cr_assert(paths.beyond_own(near, start) == 0ms);
     cr_assert(paths.beyond_own(far, start) == 400ms);
 }
--- a/test/core/topology/zone_map_test.cpp
+++ b/test/core/topology/zone_map_test.cpp
@@ -1,4 +1,4 @@
-/// How far zones are apart, by the regions that settings tell, and which lists are refused.
+/// Distances between zones by their configured regions, and errors in the configured list.
 #include "ferryroad/core/topology/zone_map.hpp"
 
 #include <criterion/criterion.h>
@@ -35,7 +35,7 @@
     }
 }
 
-Test(zone_map, a_zone_that_is_not_told_of_is_far_where_there_are_regions) {
+Test(zone_map, an_unknown_zone_is_far_if_there_are_several_regions) {
     const zone_map zones = parse_zones({"a=one", "c=two"}).zones;
     cr_assert(zones.between(a, unknown) == distance::other_region);
     cr_assert(zones.between(unknown, c) == distance::other_region);
--- a/test/core/traffic/traffic_policy_test.cpp
+++ b/test/core/traffic/traffic_policy_test.cpp
@@ -1,4 +1,4 @@
-/// Routes by host and longest prefix, tenants by key, pools by weight.
+/// Lookup of routes by host and longest prefix and of tenants by key, and rotation over pools.
 #include "ferryroad/core/traffic/traffic_policy.hpp"
 
 #include <criterion/criterion.h>
@@ -37,7 +37,7 @@
 struct route_row {
     const char* host;
     const char* path;
-    const char* expected;  ///< Null: no route.
+    const char* expected;  ///< Name of the route; null for none.
 };
 constexpr route_row route_rows[] = {
     {"a.example", "/x/1", "short"},   {"a.example", "/x/y/1", "long"},
