--- a/src/ferryroad/core/execution/actions.hpp
+++ b/src/ferryroad/core/execution/actions.hpp
@@ -24,7 +24,7 @@
     exchange_number exchange;
     attempt_number attempt;
     engine_process engine;
-    std::uint32_t first_token = 0;  ///< Index of the first token to generate.
+    std::uint32_t first_token = 0;  ///< First token to generate; above 0 to continue an answer.
 };
 
 /// Resume the stream of a running attempt. The driver answers with the events of `exchange`.
--- a/src/ferryroad/core/placement/begin_forecast.hpp
+++ b/src/ferryroad/core/placement/begin_forecast.hpp
@@ -1,7 +1,8 @@
 /// @file
-/// Within what time requests of a pool begin at its engines, and from then on end: upper bounds
-/// that are learnt from those that did. With them a limit on when a request may begin is kept by
-/// where it is sent, and not found out by waiting for it.
+/// Forecast of the time until requests of a pool begin and end at its engines: upper bounds
+/// learned from earlier requests. With them, a deadline for the begin of a request is considered
+/// when its engine is selected, instead of waiting until it has passed. A request begins with its
+/// first event.
 #pragma once
 
 #include "ferryroad/base/time.hpp"
@@ -14,89 +15,92 @@
 namespace ferryroad::core::placement {
 
 struct forecast_tunables {
-    /// Tokens that an engine reads in a millisecond, before any was seen to; as in placement.
+    /// Initial estimate of an engine's prefill rate, in tokens per millisecond; as in placement.
     double prefill_tokens_per_ms = 35;
-    /// Beside reading: the way there, and the batch that runs. Before any request was seen.
-    base::duration least_begin = std::chrono::milliseconds(50);
-    /// From one token to the next, before any answer was seen: that of large models.
-    base::duration token_time = std::chrono::milliseconds(20);
-    /// Share of the requests that are to take no longer than the bound.
-    double kept_share = 0.95;
-    /// A request that took longer raises the bound by this share of it: ten of them in a row make
-    /// it nine times as long.
-    double rise = 0.25;
-    /// An engine is told when to stop only where this many times the bound on the answer's time is
-    /// left: what has begun in time is not to be cut.
+    /// Initial estimate of the time to begin beside prefill: network latency and the running batch.
+    base::duration initial_begin = std::chrono::milliseconds(50);
+    /// Initial estimate of the time per output token; that of large models.
+    base::duration initial_token_time = std::chrono::milliseconds(20);
+    /// Share of the requests that the bound should hold for.
+    double target_share = 0.95;
+    /// A request above the bound raises it by this share, so that ten in a row multiply it by nine.
+    double rise_step = 0.25;
+    /// An engine is given a stop time only if this many times the bound on the run time is left, so
+    /// that an answer that began in time is not cut off.
     double run_margin = 2;
-    /// Where only a withdrawal keeps the limit, the time to begin counts this many times: some
-    /// engines go on with what waits there after its connection was closed.
-    double withdrawn_margin = 1.5;
-    /// How many times the first guess a bound may be.
-    double least_factor = 0.2;
-    double most_factor = 100;
+    /// Factor on the time to begin if only a withdrawal enforces the deadline. Some engines go on
+    /// with a queued request after its connection was closed.
+    double withdrawal_margin = 1.5;
+    /// Limits of a bound as a multiple of the initial estimate.
+    double min_factor = 0.2;
+    double max_factor = 100;
 };
 
-/// A bound that a share of the values seen stays below, as a multiple of what was guessed for each.
-/// It follows a rise within ten values, a fall within some hundred. Not thread-safe.
-class bound_factor {
+/// Adaptive quantile of observed values, as a factor on the initial estimate of each. It follows an
+/// increase within about ten values and a decrease within some hundred. Not thread-safe.
+class adaptive_bound {
   public:
-    /// @param taken as a multiple of the guess, above 0.
-    void record(double taken, const forecast_tunables& tunables);
+    /// @param ratio observed value as a multiple of its initial estimate, above 0.
+    void record(double ratio, const forecast_tunables& tunables);
     double value() const { return m_value; }
 
   private:
     double m_value = 1;
 };
 
-/// What a request means for the engine that gets it.
+/// Expected work of an engine for a request.
 struct expected_work {
-    std::uint64_t tokens_before = 0;  ///< Read there until it begins, its own prompt's included.
-    std::uint64_t output_tokens = 0;  ///< The most that it generates.
+    /// Tokens that the engine has to prefill before the request begins, including its own prompt.
+    std::uint64_t tokens_before = 0;
+    std::uint64_t output_tokens = 0;  ///< Maximum number of tokens to generate.
 
     friend bool operator==(const expected_work&, const expected_work&) = default;
 };
 
-/// How a limit on when a request may begin is kept at one engine.
+/// How a deadline for the begin of a request is enforced at one engine.
 struct begin_limit {
-    base::monotonic_time begin_by{};  ///< What hasn't begun by then is withdrawn.
-    /// Its whole answer is expected by then: the engine may be told to stop at that moment, and
-    /// will then not begin later, whatever becomes of the withdrawal.
+    base::monotonic_time begin_by{};  ///< A request that has not begun by then is withdrawn.
+    /// The complete answer is expected by `begin_by`. The engine can then be given this time as its
+    /// stop time, and does not begin later even if the withdrawal fails.
     bool ends_before = false;
 
     friend bool operator==(const begin_limit&, const begin_limit&) = default;
 };
 
-/// Of one pool. Not thread-safe.
+/// Forecast for one pool. Not thread-safe.
 class begin_forecast {
   public:
     explicit begin_forecast(forecast_tunables tunables = {}) : m_tunables(tunables) {}
 
-    /// A request's first event came, or hadn't come, `took` after it was sent.
+    /// Records that the first event of a request arrived `took` after it was sent, or that it had
+    /// not arrived by then.
     void began(std::uint64_t tokens_before, base::duration took);
-    /// An answer ended `took` after its first event.
+    /// Records that an answer ended `took` after its first event.
     void ended(std::uint64_t output_tokens, base::duration took);
 
-    /// @return within what time after it is sent a request is expected to begin.
+    /// @return the upper bound on the time from sending a request to its first event.
     base::duration begins_within(std::uint64_t tokens_before) const;
-    /// @return within what time after its first event its answer is expected to end.
+    /// @return the upper bound on the time from the first event of an answer to its end.
     base::duration runs_within(std::uint64_t output_tokens) const;
 
-    /// @param begin_by when the request must have begun.
-    /// @return nothing where it is not expected to, so that the engine should not get it.
+    /// @param begin_by deadline for the begin of the request.
+    /// @return how to enforce the deadline; nothing if the request is not expected to begin in
+    /// time, so that it should not be sent to the engine.
     std::optional<begin_limit> limit_for(const expected_work& work, base::monotonic_time begin_by,
                                          base::monotonic_time now) const;
 
   private:
-    /// Short prompts wait for the batch, long ones for their reading: each size has its own bound.
+    /// Each size class has its own bound, since short prompts wait for the running batch and long
+    /// ones for their prefill.
     static std::size_t size_class(std::uint64_t tokens);
-    /// @return what was learnt of the size, or of those next to it where nothing was.
+    /// @return the factor learned for the size class, or else for the neighbouring ones.
     double begin_factor(std::size_t size) const;
-    base::duration guessed_begin(std::uint64_t tokens_before) const;
-    base::duration guessed_run(std::uint64_t output_tokens) const;
+    base::duration initial_begin_estimate(std::uint64_t tokens_before) const;
+    base::duration initial_run_estimate(std::uint64_t output_tokens) const;
 
     forecast_tunables m_tunables;
-    std::map<std::size_t, bound_factor> m_begins;  ///< By size class.
-    bound_factor m_runs;
+    std::map<std::size_t, adaptive_bound> m_begin_bounds;  ///< Keyed by size class.
+    adaptive_bound m_run_bound;
 };
 
 }  // namespace ferryroad::core::placement
--- a/src/ferryroad/core/placement/engine_draw.cpp
+++ b/src/ferryroad/core/placement/engine_draw.cpp
@@ -9,8 +9,8 @@
 
 using engines = std::vector<drawable_engine>;
 
-/// Moves up to `count` of the best from one list into the indices drawn.
-void take_best(engines& from, std::size_t count, std::vector<std::size_t>& drawn) {
+/// Moves up to `count` engines with the highest scores from `from` to `drawn`.
+void move_highest(engines& from, std::size_t count, std::vector<std::size_t>& drawn) {
     count = std::min(count, from.size());
     const auto end = from.begin() + static_cast<std::ptrdiff_t>(count);
     std::partial_sort(from.begin(), end, from.end(),
@@ -38,12 +38,12 @@
         }
     }
     std::vector<std::size_t> drawn;
-    take_best(far, std::min(limits.far, limits.engines), drawn);
-    take_best(connected, std::min(limits.connected, limits.engines - drawn.size()), drawn);
+    move_highest(far, std::min(limits.far, limits.engines), drawn);
+    move_highest(connected, std::min(limits.connected, limits.engines - drawn.size()), drawn);
     near.insert(near.end(), connected.begin(), connected.end());
-    take_best(near, limits.engines - drawn.size(), drawn);
-    take_best(far, limits.engines - drawn.size(), drawn);
-    take_best(unsound, limits.engines - drawn.size(), drawn);
+    move_highest(near, limits.engines - drawn.size(), drawn);
+    move_highest(far, limits.engines - drawn.size(), drawn);
+    move_highest(unsound, limits.engines - drawn.size(), drawn);
     return drawn;
 }
 
--- a/src/ferryroad/core/placement/engine_draw.hpp
+++ b/src/ferryroad/core/placement/engine_draw.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// Which engines of many a request is weighed for. What routers know of load is some 100 ms old: if
-/// each took the least loaded of all, they would meet there, so that each request draws a few.
+/// Draws a random subset of the engines as candidates for a request. The load known to routers is
+/// about 100 ms old. If each router chose the least loaded of all engines, their requests would
+/// collide there.
 #pragma once
 
 #include <cstddef>
@@ -11,29 +12,30 @@
 
 /// An engine that may be drawn.
 struct drawable_engine {
-    std::size_t index = 0;    ///< In the caller's list.
-    std::uint64_t score = 0;  ///< By the request's id: the highest are drawn.
-    bool sound = true;        ///< Others are drawn only where too few sound ones are left.
-    bool connected = false;   ///< A connection to it is kept.
-    bool far = false;         ///< It stands in another region.
+    std::size_t index = 0;    ///< Index in the caller's list.
+    std::uint64_t score = 0;  ///< Hash of the request id and the engine; the highest are drawn.
+    bool sound = true;        ///< Unhealthy engines are drawn only if too few others are left.
+    bool connected = false;   ///< The router has an open connection to it.
+    bool far = false;         ///< It is in another region.
 
     friend bool operator==(const drawable_engine&, const drawable_engine&) = default;
 };
 
 struct draw_limits {
-    std::size_t engines = 16;
-    /// Of these, those of other regions: enough for a request to go where there is room, few enough
-    /// that the own region is seen well. More only where the own region has too few sound ones.
+    std::size_t engines = 16;  ///< Maximum number of engines drawn.
+    /// Number of these from other regions: enough to find free capacity there, and few enough that
+    /// the router's own region is well represented. More are drawn only if the own region has too
+    /// few healthy engines.
     std::size_t far = 4;
-    /// Of the others, at most so many are drawn first among those that a connection is kept to:
-    /// routers keep different ones. Measured at 83 routers and 146 engines: 10,700 new connections
-    /// a day without, 6,700 with it.
+    /// Number of the others that are drawn first among connected engines, which differ between
+    /// routers. For 83 routers and 146 engines this reduces new connections from 10,700 to 6,700
+    /// per day.
     std::size_t connected = 8;
 
     friend bool operator==(const draw_limits&, const draw_limits&) = default;
 };
 
-/// @return the indices drawn, at most `limits.engines`. Thread-safe.
+/// @return the indices of the engines drawn, at most `limits.engines`. Thread-safe.
 std::vector<std::size_t> draw_engines(const std::vector<drawable_engine>& from,
                                       const draw_limits& limits);
 
--- a/src/ferryroad/core/placement/engine_health.hpp
+++ b/src/ferryroad/core/placement/engine_health.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Outlier ejection: what a router's own exchanges say of an engine's health. An engine that
-/// breaks exchanges gets no new work for a while, then one request as a trial.
+/// Passive health check with outlier ejection. An engine whose exchanges fail is suspended from new
+/// work for some time and then tried again.
 #pragma once
 
 #include "ferryroad/base/time.hpp"
@@ -10,28 +10,30 @@
 namespace ferryroad::core::placement {
 
 struct health_tunables {
-    /// Weight of the newest outcome in the share of failures.
+    /// Weight of the newest outcome in the moving average of the failure share.
     double outcome_weight = 0.3;
-    /// Over this share of failures the engine is suspended.
+    /// An engine is suspended if its failure share reaches this.
     double failure_share = 0.4;
-    base::duration first_suspension = std::chrono::milliseconds(700);
-    base::duration longest_suspension = std::chrono::seconds(5);
+    base::duration initial_suspension = std::chrono::milliseconds(700);
+    base::duration max_suspension = std::chrono::seconds(5);
 };
 
-/// Of one engine, as one router sees it. Not thread-safe.
+/// Health of one engine as observed by one router. Not thread-safe.
 class engine_health {
   public:
     explicit engine_health(health_tunables tunables = {})
-        : m_tunables(tunables), m_suspension(tunables.first_suspension) {}
+        : m_tunables(tunables), m_suspension(tunables.initial_suspension) {}
 
-    /// An exchange ended as it should.
+    /// Records an exchange that completed.
     void record_success();
-    /// An exchange broke: no connection, a cut, silence, or bytes that are no answer.
-    /// @param certain whether the engine surely serves nobody (no connection to it).
+    /// Records an exchange that failed: no connection, connection lost, timeout or malformed
+    /// answer.
+    /// @param certain whether the engine is certainly down (no connection to it), which suspends it
+    /// at once.
     void record_failure(bool certain, base::monotonic_time now);
-    /// @return whether new work should go elsewhere.
+    /// @return whether the engine should get no new work.
     bool suspended(base::monotonic_time now) const { return now < m_suspended_until; }
-    /// @return the share of exchanges that broke of late.
+    /// @return the moving average of the share of failed exchanges.
     double failure_share() const { return m_failure_share; }
 
   private:
--- a/src/ferryroad/core/placement/engine_load_view.hpp
+++ b/src/ferryroad/core/placement/engine_load_view.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What other routers said of the load that they put on engines. Each statement is whole: it
-/// replaces the sender's last one, and is forgotten when the sender falls silent.
+/// Load on engines from the requests of other routers, as reported by them. Each report is
+/// complete: it replaces the sender's previous one and expires if the sender stops reporting.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -16,13 +16,13 @@
 struct stated_load {
     base::engine_name engine;
     std::uint32_t running = 0;
-    std::uint64_t prefill_tokens = 0;  ///< Of prompts that wait for their first event.
-    base::duration refuses_for{};      ///< The engine said that it takes no work so long.
+    std::uint64_t prefill_tokens = 0;  ///< Prompt tokens of requests without a first event yet.
+    base::duration refuses_for{};      ///< Remaining time for which the engine refuses requests.
 
     friend bool operator==(const stated_load&, const stated_load&) = default;
 };
 
-/// Of all other routers together, at one engine.
+/// Requests of all other routers at one engine.
 struct shared_load {
     std::uint32_t running = 0;
     std::uint64_t prefill_tokens = 0;
@@ -34,26 +34,27 @@
 /// Not thread-safe.
 class engine_load_view {
   public:
-    /// @param lifetime a statement holds no longer than this.
+    /// @param lifetime time after which a report expires.
     explicit engine_load_view(base::duration lifetime = std::chrono::milliseconds(1500))
         : m_lifetime(lifetime) {}
 
+    /// Replaces the report of a router.
     /// @param loads all engines that the sender has requests at.
     void state(const base::router_name& sender, std::vector<stated_load> loads,
                base::monotonic_time now);
-    /// The router is gone.
-    void forget(const base::router_name& sender) { m_statements.erase(sender); }
-    /// @return the sum over all routers, by engine; made once for a selection.
+    /// Drops the report of a router that has left.
+    void forget(const base::router_name& sender) { m_reports.erase(sender); }
+    /// @return the sum over all routers, by engine. Each call computes it anew.
     std::map<base::engine_name, shared_load> totals(base::monotonic_time now) const;
 
   private:
-    struct statement {
+    struct report {
         std::vector<stated_load> loads;
-        base::monotonic_time taken_at{};
+        base::monotonic_time received_at{};
     };
 
     base::duration m_lifetime;
-    std::map<base::router_name, statement> m_statements;
+    std::map<base::router_name, report> m_reports;
 };
 
 }  // namespace ferryroad::core::placement
--- a/src/ferryroad/core/placement/placement.cpp
+++ b/src/ferryroad/core/placement/placement.cpp
@@ -6,38 +6,39 @@
 
 namespace {
 
-/// What it costs to read a token that nobody is known to hold, as a multiple of its prefill.
+/// @return the cost of a shared token that no cache is known to hold, as a multiple of its prefill
+/// time.
 double unknown_factor(const placement_query& query, const engine_candidate& engine,
                       const placement_tunables& tunables) {
     if (engine.home) {
-        const double warmth =
-            query.knows_holders ? tunables.home_warmth : tunables.unknown_home_warmth;
-        return (1 - warmth) * tunables.recompute_factor;
+        const double cached_share = query.knows_holders ? tunables.home_cached_share
+                                                        : tunables.unconfirmed_home_cached_share;
+        return (1 - cached_share) * tunables.recompute_factor;
     }
     return query.knows_holders ? tunables.recompute_factor : tunables.reread_factor;
 }
 
-/// What the shared parts cost here: those that can be fetched are moved, the others are read.
-shared_plan shared_by(const placement_query& query, const engine_candidate& engine,
+/// @return the plan that fetches the cached shared tokens and computes the others.
+shared_plan make_plan(const placement_query& query, const engine_candidate& engine,
                       const placement_tunables& tunables, bool from_far) {
     const std::uint64_t warm = std::min(engine.warm_tokens, query.shared_tokens);
     const std::uint64_t fetchable =
         from_far ? engine.far_fetchable_tokens : engine.fetchable_tokens;
-    const std::uint64_t held_somewhere = std::min(std::max(fetchable, warm), query.shared_tokens);
+    const std::uint64_t cached = std::min(std::max(fetchable, warm), query.shared_tokens);
     shared_plan plan;
-    plan.moved_tokens = held_somewhere - warm;
+    plan.moved_tokens = cached - warm;
     plan.from_far = from_far;
     const std::uint64_t known =
-        std::max(held_somewhere, std::min(engine.far_fetchable_tokens, query.shared_tokens));
-    const auto again = static_cast<double>(known - held_somewhere);
+        std::max(cached, std::min(engine.far_fetchable_tokens, query.shared_tokens));
+    const auto recomputed = static_cast<double>(known - cached);
     const auto unknown = static_cast<double>(query.shared_tokens - known);
-    const double read =
-        unknown * unknown_factor(query, engine, tunables) + again * tunables.reread_factor;
+    const double computed =
+        unknown * unknown_factor(query, engine, tunables) + recomputed * tunables.reread_factor;
     const double each = tunables.fetch_token_ms * (from_far ? tunables.far_fetch_factor : 1.0);
-    const double moving = plan.moved_tokens > 0
-                              ? tunables.fetch_ms + static_cast<double>(plan.moved_tokens) * each
-                              : 0.0;
-    plan.cost_ms = moving + read / tunables.prefill_tokens_per_ms;
+    const double fetch = plan.moved_tokens > 0
+                             ? tunables.fetch_ms + static_cast<double>(plan.moved_tokens) * each
+                             : 0.0;
+    plan.cost_ms = fetch + computed / tunables.prefill_tokens_per_ms;
     return plan;
 }
 
@@ -48,8 +49,8 @@
     return own / tunables.prefill_tokens_per_ms + plan_shared(query, engine, tunables).cost_ms;
 }
 
-/// What the streams that run there are likely to lose while this prompt and those before it
-/// are read.
+/// @return the expected cost of delays of the engine's running streams during the prefill of this
+/// prompt and of those queued before it.
 double interference_cost(const placement_query& query, const engine_candidate& engine,
                          const placement_tunables& tunables) {
     const double gap_ms = base::to_seconds(query.target_gap) * 1000;
@@ -58,25 +59,26 @@
     }
     const std::uint64_t moved = plan_shared(query, engine, tunables).moved_tokens;
     const std::uint64_t held = std::max(engine.warm_tokens + moved, engine.fetchable_tokens);
-    const std::uint64_t read = query.input_tokens - std::min(held, query.input_tokens);
-    const double reading_ms =
-        static_cast<double>(engine.pending_prefill_tokens + read) / tunables.prefill_tokens_per_ms;
+    const std::uint64_t computed = query.input_tokens - std::min(held, query.input_tokens);
+    const double prefill_ms = static_cast<double>(engine.pending_prefill_tokens + computed) /
+                              tunables.prefill_tokens_per_ms;
     const double span = tunables.late_gap_share - tunables.harmless_gap_share;
-    const double late = (reading_ms / gap_ms - tunables.harmless_gap_share) / span;
+    const double late = (prefill_ms / gap_ms - tunables.harmless_gap_share) / span;
     const double each = tunables.late_stream_ms * query.gap_pressure;
     return std::clamp(late, 0.0, 1.0) * engine.running * each;
 }
 
-/// The way there, what its bytes cost, and what can't be known of an engine that far.
+/// @return the cost of latency and traffic to the engine's zone and of not knowing the load there.
 double distance_cost(const placement_query& query, const engine_candidate& engine,
                      const placement_tunables& tunables) {
     if (engine.away == topology::distance::same_zone) {
         return 0;
     }
-    const double unseen = query.unseen_load > 1 ? tunables.unseen_zone_ms : 0.0;
+    const double unknown_load = query.unseen_load > 1 ? tunables.unknown_zone_load_ms : 0.0;
     const bool far = engine.away == topology::distance::other_region;
-    const double beyond = far ? engine.path_ms + query.transfer_kb * tunables.region_kb_ms : 0.0;
-    return tunables.other_zone_ms + unseen + beyond;
+    const double region_cost =
+        far ? engine.path_ms + query.transfer_kb * tunables.region_kb_ms : 0.0;
+    return tunables.other_zone_ms + unknown_load + region_cost;
 }
 
 double cost_of(const placement_query& query, const engine_candidate& engine,
@@ -84,8 +86,8 @@
     const double pending = static_cast<double>(engine.pending_prefill_tokens);
     const double queue = pending * query.unseen_load / tunables.prefill_tokens_per_ms;
     const double share = static_cast<double>(engine.running) / std::max(1U, engine.slots);
-    const double crowd = share * query.unseen_load * tunables.full_engine_ms;
-    double cost = prefill_cost(query, engine, tunables) + queue + crowd;
+    const double occupancy = share * query.unseen_load * tunables.full_engine_ms;
+    double cost = prefill_cost(query, engine, tunables) + queue + occupancy;
     cost += interference_cost(query, engine, tunables);
     cost += distance_cost(query, engine, tunables);
     cost += engine.connected ? 0.0 : tunables.connect_ms;
@@ -98,11 +100,11 @@
 
 shared_plan plan_shared(const placement_query& query, const engine_candidate& engine,
                         const placement_tunables& tunables) {
-    const shared_plan near = shared_by(query, engine, tunables, false);
+    const shared_plan near = make_plan(query, engine, tunables, false);
     if (engine.far_fetchable_tokens <= engine.fetchable_tokens) {
         return near;
     }
-    const shared_plan far = shared_by(query, engine, tunables, true);
+    const shared_plan far = make_plan(query, engine, tunables, true);
     return far.cost_ms < near.cost_ms ? far : near;
 }
 
--- a/src/ferryroad/core/placement/state_stores.hpp
+++ b/src/ferryroad/core/placement/state_stores.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Which store of prompt state a prompt belongs to, and whether its state is worth saving. Stores
-/// are much slower than engines' links: each takes a few dozen prompts a second.
+/// Selection of the state store for a prompt, and whether to save its state there. Stores are much
+/// slower than the links of engines: each takes a few dozen prompts per second.
 #pragma once
 
 #include "ferryroad/core/prefix/declared_prompt.hpp"
@@ -11,20 +11,21 @@
 
 namespace ferryroad::core::placement {
 
-/// @return the store where all routers look for the prompt's state, by its deepest shared part;
-/// null without stores or shared parts. Thread-safe.
+/// @return the store for the prompt's state, selected by its deepest shared part and the same at
+/// all routers; null without stores or shared parts. Thread-safe.
 const traffic::state_store* store_of(const std::vector<traffic::state_store>& stores,
                                      const prefix::declared_prompt& prompt);
 
-/// Tokens of a prompt that is about to be read.
+/// Numbers of tokens of a prompt before its prefill.
 struct prompt_reading {
-    std::uint64_t shared = 0;  ///< Of its shared parts.
-    std::uint64_t held = 0;    ///< Of these, those that someone holds.
-    std::uint64_t own = 0;     ///< Of its last part, which is saved together with them.
+    std::uint64_t shared = 0;  ///< Tokens of the shared parts.
+    std::uint64_t held = 0;    ///< Shared tokens that are cached somewhere.
+    std::uint64_t own = 0;     ///< Tokens of the last part, which is saved with the shared parts.
 };
 
-/// What is read anew is worth saving, unless it comes along with more that nobody asks for again:
-/// that takes the store's link and drives other state out. Thread-safe.
+/// @return whether to save the state: if shared tokens are newly computed and the last part, which
+/// no other request uses, is not longer than these. Saving a longer one would take up the store's
+/// bandwidth and evict other state. Thread-safe.
 bool is_worth_saving(const prompt_reading& reading);
 
 }  // namespace ferryroad::core::placement
--- a/src/ferryroad/core/prefix/cache_namespace.hpp
+++ b/src/ferryroad/core/prefix/cache_namespace.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Who may share cached prompt state with whom.
+/// Namespace within which cached prompt state may be shared.
 #pragma once
 
 #include "ferryroad/base/hash.hpp"
@@ -11,13 +11,13 @@
 
 namespace ferryroad::core::prefix {
 
-/// Cached state is shared only within one namespace. Always compared field by field; the
-/// hash only places namespaces in tables.
+/// Cached state is shared only within one namespace. Namespaces are always compared field by field;
+/// the hash is only used to place them in tables and to seed the hashes of pieces.
 struct cache_namespace {
     base::tenant_name tenant;
     base::model_name model;
     base::weights_version version;
-    base::adapter_name adapter;  ///< Empty for the bare model.
+    base::adapter_name adapter;  ///< Empty for the base model.
 
     // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads defaulted comparisons.
     friend auto operator<=>(const cache_namespace&, const cache_namespace&) = default;
--- a/src/ferryroad/core/prefix/heat.cpp
+++ b/src/ferryroad/core/prefix/heat.cpp
@@ -23,11 +23,11 @@
         counters_.push_back({piece, 1, now});
         return;
     }
-    const auto coldest = std::min_element(counters_.begin(), counters_.end(),
-                                          [this, now](const counter& left, const counter& right) {
-                                              return decayed(left, now) < decayed(right, now);
-                                          });
-    *coldest = {piece, decayed(*coldest, now) + 1, now};
+    const auto smallest = std::min_element(counters_.begin(), counters_.end(),
+                                           [this, now](const counter& left, const counter& right) {
+                                               return decayed(left, now) < decayed(right, now);
+                                           });
+    *smallest = {piece, decayed(*smallest, now) + 1, now};
 }
 
 double heat::rate(base::piece_hash piece, base::monotonic_time now) const {
--- a/src/ferryroad/core/prefix/heat.hpp
+++ b/src/ferryroad/core/prefix/heat.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which prefixes are asked for most, in bounded memory.
+/// Request rates of the most requested prefixes, in bounded memory.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -11,10 +11,10 @@
 namespace ferryroad::core::prefix {
 
 struct heat_settings {
-    /// Pieces counted at once. A piece whose share of all requests is above 1 / entries is
-    /// never missed.
+    /// Number of counters. A piece whose share of all requests is above 1 / entries is always
+    /// counted.
     std::size_t entries = 256;
-    /// A request counts half after this long.
+    /// Half-life of the exponential decay of counts.
     base::duration half_life = std::chrono::seconds(10);
 };
 
@@ -23,19 +23,21 @@
     double requests_per_second = 0;
 };
 
-/// Heavy-hitter sketch: the space-saving algorithm over exponentially decayed counts. A rate
-/// is never under the true decayed one while the piece is counted, and over it by at most
-/// the smallest counted rate at the time the piece came in. Pieces are told apart by their
-/// chained hash alone: the figures guide replication and grant no use of cached state.
+/// Heavy-hitter sketch: the space-saving algorithm over exponentially decayed counts. While a piece
+/// is counted, its rate is never below the true decayed rate, and above it by at most the smallest
+/// counted rate at the time when the piece got its counter. Pieces are identified by their chained
+/// hash alone, since the rates only guide replication and give no access to cached state. Not
+/// thread-safe.
 class heat {
   public:
     explicit heat(heat_settings settings);
 
-    /// One request for `piece`. `now` never falls.
+    /// Records a request for `piece`.
+    /// @param now not before that of earlier calls.
     void record(base::piece_hash piece, base::monotonic_time now);
-    /// @return requests a second; 0 where the piece is not among those counted.
+    /// @return requests per second; 0 if the piece has no counter.
     double rate(base::piece_hash piece, base::monotonic_time now) const;
-    /// @return the hottest pieces first, at most `count` of them.
+    /// @return the pieces with the highest rates, at most `count`, highest first.
     std::vector<hot_piece> hottest(std::size_t count, base::monotonic_time now) const;
 
   private:
--- a/src/ferryroad/core/prefix/ownership.cpp
+++ b/src/ferryroad/core/prefix/ownership.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// @return position of the highest score for `root`, `excluded` left out.
+/// @return the index of the router with the highest score for `root`, other than `excluded`.
 std::optional<std::size_t> highest(base::piece_hash root,
                                    std::span<const base::router_name> routers,
                                    std::optional<std::size_t> excluded) {
--- a/src/ferryroad/core/prefix/ownership.hpp
+++ b/src/ferryroad/core/prefix/ownership.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which router keeps the shared index of a prefix root.
+/// Assignment of prefix roots to the routers that keep their shared index.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -10,16 +10,17 @@
 
 namespace ferryroad::core::prefix {
 
-/// Positions in the list of routers asked about.
+/// Owners of a root, as indices in the list of routers.
 struct root_owners {
     std::size_t owner = 0;
-    /// Becomes the owner if the owner goes, and keeps the same index until then.
+    /// Becomes the owner when the owner leaves, and keeps a copy of the index until then.
     std::optional<std::size_t> standby;
 };
 
-/// Rendezvous hashing: routers that agree on who lives agree on the owners, and only roots of
-/// a lost or new router move.
-/// @return nothing where there is no router.
+/// Assigns owners by rendezvous hashing. Routers with the same view of the live routers agree on
+/// the owners, and only roots of a router that joins or leaves are moved. Thread-safe.
+/// @param routers names of the live routers.
+/// @return the owners; nothing if there are no routers.
 std::optional<root_owners> owners_of(base::piece_hash root,
                                      std::span<const base::router_name> routers);
 
--- a/src/ferryroad/core/prefix/pieces.hpp
+++ b/src/ferryroad/core/prefix/pieces.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Cuts a prompt into pieces and names each by the hash of everything up to its end.
+/// Splits a prompt into pieces and identifies each by the hash of the prompt up to its end.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -11,17 +11,19 @@
 
 namespace ferryroad::core::prefix {
 
-/// One token is taken for this many bytes of prompt wherever no tokenizer is at hand.
+/// Bytes of prompt per token, for estimates without a tokenizer.
 inline constexpr std::size_t bytes_per_token = 4;
-/// Size of a piece where a model sets no other (the engines move about 1,000 tokens at once).
+/// Size of a piece unless the model sets another one. Engines transfer state in units of about
+/// 1,000 tokens.
 inline constexpr std::size_t default_piece_bytes = 1024 * bytes_per_token;
 
-/// Hashes of a prompt's leading whole pieces: element n names pieces 0 to n together. The
-/// rest that fills no piece is not cached by engines and has no hash. The first element is
+/// Hashes of a prompt's leading complete pieces: element n identifies pieces 0 to n together. An
+/// incomplete piece at the end is not cached by engines and has no hash. The first element is
 /// called the root.
 using piece_chain = std::vector<base::piece_hash>;
 
-/// @param piece_bytes bytes of prompt in a piece, at least 1.
+/// Computes the piece hashes of a prompt. Thread-safe.
+/// @param piece_bytes size of a piece in bytes, at least 1.
 piece_chain hash_pieces(const cache_namespace& scope, std::string_view prompt,
                         std::size_t piece_bytes);
 
--- a/src/ferryroad/core/prefix/prefix_index.cpp
+++ b/src/ferryroad/core/prefix/prefix_index.cpp
@@ -8,10 +8,11 @@
 
 namespace {
 
-/// Outdated entries reclaimed with each recording: more than one, so that the table drains.
-constexpr std::size_t reclaimed_with_each_recording = 4;
+/// Maximum number of expired entries reclaimed by each recording. It is above 1, so that expired
+/// entries don't accumulate.
+constexpr std::size_t max_reclaimed_per_recording = 4;
 
-/// Takes a free position of `records` or makes a new one.
+/// @return a free position in `records`, or else a new one.
 template <typename Record>
 std::uint32_t take_position(std::vector<Record>& records, std::vector<std::uint32_t>& free) {
     if (free.empty()) {
@@ -28,7 +29,7 @@
 prefix_index::prefix_index(prefix_index_settings settings) : settings_(settings) {
     settings_.entries = std::max<std::size_t>(settings_.entries, 1);
     settings_.holders_per_piece = std::max<std::size_t>(settings_.holders_per_piece, 1);
-    // Untouched pages cost nothing, and growing by doubling would break the bound.
+    // Growth by doubling would exceed the memory limit. Reserved pages take no memory until used.
     entries_.reserve(settings_.entries);
     buckets_.assign(std::bit_floor(settings_.entries), none);
 }
@@ -39,11 +40,11 @@
     if (!process_position || pieces.empty()) {
         return;
     }
-    reclaim_outdated(now);
+    reclaim_expired(now);
     const position scope_position = intern_scope(scope);
-    // Held by a reference of our own while entries come and go below.
+    // An additional reference keeps the scope while entries are added and removed below.
     ++scopes_[scope_position].entries;
-    // The root last: it is the last to be dropped, as in an engine's own cache.
+    // The root is touched last, so that it is evicted last, as in an engine's cache.
     for (auto piece = pieces.rbegin(); piece != pieces.rend(); ++piece) {
         touch(scope_position, *piece, *process_position, why, now);
     }
@@ -121,7 +122,7 @@
                           base::duration within) const {
     for (position at = bucket_of(piece); at != none; at = entries_[at].next_in_bucket) {
         const entry& candidate = entries_[at];
-        if (candidate.piece != piece || candidate.scope != scope || !believed(candidate, now) ||
+        if (candidate.piece != piece || candidate.scope != scope || !is_valid(candidate, now) ||
             now - candidate.seen_at > within) {
             continue;
         }
@@ -148,7 +149,7 @@
         return false;
     }
     const position found = find(*scope_position, piece, *process_position);
-    return found != none && believed(entries_[found], now) &&
+    return found != none && is_valid(entries_[found], now) &&
            now - entries_[found].seen_at <= within;
 }
 
@@ -181,7 +182,7 @@
 
 std::optional<prefix_index::position> prefix_index::intern_process(const engine_process& process) {
     if (process.incarnation.value == 0) {
-        return std::nullopt;  // Not known: nothing can be keyed by it.
+        return std::nullopt;  // Incarnation 0 means that the incarnation is not known.
     }
     const auto [known, is_new] = process_positions_.try_emplace(process.engine, none);
     if (!is_new) {
@@ -214,7 +215,7 @@
     return buckets_[piece.value & (buckets_.size() - 1)];
 }
 
-bool prefix_index::believed(const entry& candidate, base::monotonic_time now) const {
+bool prefix_index::is_valid(const entry& candidate, base::monotonic_time now) const {
     const process_record& process = processes_[candidate.process];
     if (!process.current || now - candidate.seen_at > settings_.lifetime) {
         return false;
@@ -237,9 +238,9 @@
     const position known = find(scope, piece, process);
     if (known != none) {
         entry& existing = entries_[known];
-        // What was void before is not revived by an answer of long ago.
+        // An entry that had become invalid must not become valid again by an old answer.
         existing.answered =
-            (existing.answered && believed(existing, now)) || why == evidence::answer;
+            (existing.answered && is_valid(existing, now)) || why == evidence::answer;
         existing.seen_at = now;
         existing.gaps = processes_[process].gaps;
         unlink_age(known);
@@ -259,10 +260,10 @@
     ++scopes_[scope].entries;
     ++processes_[process].entries;
     link_newest(added);
-    bound_holders(scope, piece);
+    limit_holders(scope, piece);
 }
 
-void prefix_index::bound_holders(position scope, base::piece_hash piece) {
+void prefix_index::limit_holders(position scope, base::piece_hash piece) {
     std::size_t holders = 0;
     position least_recent = none;
     for (position at = bucket_of(piece); at != none; at = entries_[at].next_in_bucket) {
@@ -334,8 +335,8 @@
     }
 }
 
-void prefix_index::reclaim_outdated(base::monotonic_time now) {
-    for (std::size_t count = 0; count < reclaimed_with_each_recording; ++count) {
+void prefix_index::reclaim_expired(base::monotonic_time now) {
+    for (std::size_t count = 0; count < max_reclaimed_per_recording; ++count) {
         if (oldest_ == none || now - entries_[oldest_].seen_at <= settings_.lifetime) {
             return;
         }
--- a/src/ferryroad/core/prefix/prefix_index.hpp
+++ b/src/ferryroad/core/prefix/prefix_index.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Which engine is believed to hold which pieces: learned from dispatches, answers and cache
-/// events, all of them late and some of them lost.
+/// Index of the pieces that engines are assumed to cache. It is learned from dispatches, answers
+/// and cache events, which arrive late and may be lost.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -17,13 +17,13 @@
 
 namespace ferryroad::core::prefix {
 
-/// Bounds of a prefix index.
+/// Limits of a prefix index.
 struct prefix_index_settings {
-    /// Entries (one piece on one engine) kept at most; the least recently seen go first.
+    /// Maximum number of entries (one piece on one engine); the least recently seen is evicted.
     std::size_t entries = 65536;
-    /// An entry not seen again for this long is no longer believed.
+    /// Time after which an entry that is not seen again expires.
     base::duration lifetime = std::chrono::seconds(20);
-    /// Engines remembered for one piece at most; the least recently seen goes first.
+    /// Maximum number of engines per piece; the least recently seen is evicted.
     std::size_t holders_per_piece = 64;
 };
 
@@ -37,59 +37,62 @@
     friend bool operator==(const engine_process&, const engine_process&) = default;
 };
 
-/// Why pieces are believed to be cached.
+/// Why pieces are assumed to be cached.
 enum class evidence {
-    dispatch,  ///< A request with them was sent there: it will hold them soon.
-    event,     ///< The engine's event stream said so.
-    answer     ///< The engine's answer to a request said so; outlives a gap in its events.
+    dispatch,  ///< A request with these pieces was sent to the engine, which will cache them soon.
+    event,     ///< An event of the engine reported them.
+    answer     ///< An answer of the engine reported them; it stays valid after lost events.
 };
 
-/// An engine that holds leading pieces of a prompt.
+/// An engine that caches leading pieces of a prompt.
 struct holder {
     engine_process process;
-    std::uint32_t pieces = 0;  ///< Leading pieces held, at least 1.
-    base::duration age{};      ///< Since the least recently seen of these pieces was seen.
+    std::uint32_t pieces = 0;  ///< Number of leading pieces cached, at least 1.
+    base::duration age{};      ///< Time since the least recently seen of them was seen.
 };
 
-/// Learned index keyed by (engine, incarnation, namespace) and piece. Namespaces and engine
-/// names are compared exactly; only table placement goes by hash. Lookup and recording take
-/// time linear in the number of pieces, times the holders of each. Not thread-safe.
+/// Learned index keyed by (engine, incarnation, namespace) and piece. Namespaces and engine names
+/// are compared exactly; the hash only determines the position in the table. Lookup and recording
+/// take time proportional to the number of pieces times the holders of each. Not thread-safe.
 class prefix_index {
   public:
-    /// Upper bound of the memory one entry takes, tables included, in bytes.
+    /// Upper limit of the memory per entry in bytes, tables included.
     static constexpr std::size_t bytes_per_entry = 48;
 
     explicit prefix_index(prefix_index_settings settings);
 
-    /// `process` holds, or is about to hold, all of `pieces` (leading pieces, root first).
-    /// Ignored where a later incarnation of that engine is known.
+    /// Records that `process` caches, or will soon cache, all of `pieces`. Ignored if a later
+    /// incarnation of the engine is known.
+    /// @param pieces leading pieces of a prompt, root first.
     void record(const cache_namespace& scope, std::span<const base::piece_hash> pieces,
                 const engine_process& process, evidence why, base::monotonic_time now);
 
-    /// `process` dropped `piece`.
+    /// Records that `process` evicted `piece`.
     void record_evicted(const cache_namespace& scope, base::piece_hash piece,
                         const engine_process& process);
 
-    /// Events of `process` were lost: all that no answer has confirmed is void.
+    /// Records that events of `process` were lost. Its entries that no answer has confirmed become
+    /// invalid.
     void record_gap(const engine_process& process);
 
-    /// `process` is the engine's process now: what earlier incarnations held is void.
+    /// Records that `process` is the engine's current process. Entries of earlier incarnations
+    /// become invalid.
     void record_incarnation(const engine_process& process);
 
-    /// The engine is gone: nothing of it is believed any more.
+    /// Invalidates all entries of an engine that has left.
     void forget(const base::engine_name& engine);
 
-    /// @param within only pieces seen this lately count; the lifetime where it is shorter.
-    /// @return each engine that holds at least the root, longest match first, then by name.
+    /// @param within maximum age of entries, if shorter than the lifetime.
+    /// @return all engines that cache at least the root, longest match first, then by name.
     std::vector<holder> lookup(const cache_namespace& scope,
                                std::span<const base::piece_hash> pieces, base::monotonic_time now,
                                base::duration within = base::duration::max()) const;
 
-    /// @return true where `process` is believed to hold `piece`, seen within `within`.
+    /// @return whether `process` is assumed to cache `piece` by an entry not older than `within`.
     bool holds(const cache_namespace& scope, base::piece_hash piece, const engine_process& process,
                base::monotonic_time now, base::duration within = base::duration::max()) const;
 
-    /// @return entries kept, void and outdated ones that are not yet reclaimed included.
+    /// @return the number of entries, including invalid and expired ones not reclaimed yet.
     std::size_t size() const { return used_; }
 
   private:
@@ -105,22 +108,24 @@
         position next_in_bucket = none;
         position newer = none;
         position older = none;
-        std::uint16_t gaps = 0;  ///< Gaps in its process's events when it was last seen.
-        bool answered = false;
+        std::uint16_t gaps = 0;  ///< Value of `process_record::gaps` when it was last seen.
+        bool answered = false;   ///< Whether an answer has confirmed it.
     };
     static_assert(sizeof(entry) == 40);
 
     struct process_record {
         engine_process process;
         std::size_t entries = 0;
-        std::uint16_t gaps = 0;  ///< Wraps: entries outlive their lifetime by far less.
-        bool current = false;
+        /// Number of gaps in the events. It may wrap around, since an entry expires long before a
+        /// value can occur again.
+        std::uint16_t gaps = 0;
+        bool current = false;  ///< Whether it is the engine's latest known process.
     };
     struct scope_record {
         cache_namespace scope;
         std::size_t entries = 0;
     };
-    /// A run of leading pieces on one engine while a lookup walks down the chain.
+    /// Leading pieces cached by one engine, as far as a lookup has followed the chain.
     struct run {
         position process = none;
         std::uint32_t pieces = 0;
@@ -129,27 +134,27 @@
 
     std::optional<position> find_scope(const cache_namespace& scope) const;
     position intern_scope(const cache_namespace& scope);
-    /// @return the engine's current process, if `process` is it.
+    /// @return the position of `process` if it is the engine's current process.
     std::optional<position> find_process(const engine_process& process) const;
-    /// Makes `process` the current one unless a later incarnation is known.
+    /// Makes `process` the engine's current process unless a later incarnation is known.
     std::optional<position> intern_process(const engine_process& process);
     void retire_process(position process);
 
     position& bucket_of(base::piece_hash piece);
     position bucket_of(base::piece_hash piece) const;
-    bool believed(const entry& candidate, base::monotonic_time now) const;
+    bool is_valid(const entry& candidate, base::monotonic_time now) const;
     /// @return the entry, or `none`.
     position find(position scope, base::piece_hash piece, position process) const;
     void touch(position scope, base::piece_hash piece, position process, evidence why,
                base::monotonic_time now);
-    /// Removes the least recently seen holder of a piece that has too many.
-    void bound_holders(position scope, base::piece_hash piece);
+    /// Removes the least recently seen holder of a piece with more than `holders_per_piece`.
+    void limit_holders(position scope, base::piece_hash piece);
     position allocate();
     void remove(position index);
     void link_newest(position index);
     void unlink_age(position index);
-    void reclaim_outdated(base::monotonic_time now);
-    /// Lengthens the runs of engines that hold `piece` at `depth`.
+    void reclaim_expired(base::monotonic_time now);
+    /// Extends the runs of the engines that cache `piece` at `depth`.
     void extend(std::vector<run>& runs, std::uint32_t depth, position scope, base::piece_hash piece,
                 base::monotonic_time now, base::duration within) const;
 
--- a/src/ferryroad/core/prefix/recent_dispatches.hpp
+++ b/src/ferryroad/core/prefix/recent_dispatches.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Work sent to engines a moment ago, which no load report shows yet.
+/// Recent dispatches to engines that load reports don't include yet.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -14,34 +14,34 @@
 namespace ferryroad::core::prefix {
 
 struct recent_dispatches_settings {
-    /// Older dispatches are taken to show in load reports.
+    /// Age from which on load reports are assumed to include a dispatch.
     base::duration window = std::chrono::seconds(1);
-    std::size_t kept = 256;
-    /// The most told in one answer; the newest go first.
-    std::size_t told = 16;
+    std::size_t max_stored = 256;   ///< Maximum number of dispatches stored.
+    std::size_t max_returned = 16;  ///< Maximum number of dispatches returned by `by_others`.
 };
 
-/// Prefill that a router sent to an engine.
+/// Prefill that a router dispatched to an engine.
 struct recent_dispatch {
     engine_process process;
     std::uint32_t prefill_tokens = 0;
-    base::duration age{};  ///< Since it was reported.
+    base::duration age{};  ///< Time since it was reported.
 };
 
-/// Pure and bounded.
+/// Bounded in size. Does no I/O and reads no clock. Not thread-safe.
 class recent_dispatches {
   public:
     explicit recent_dispatches(recent_dispatches_settings settings = {}) : settings_(settings) {}
 
-    /// @param reporter the router that dispatched.
+    /// Records a dispatch.
+    /// @param reporter the router that made it.
     void record(const engine_process& process, std::uint32_t prefill_tokens,
                 const base::router_name& reporter, base::monotonic_time now);
-    /// @return what routers other than `asker` dispatched lately, newest first.
+    /// @return the recent dispatches of routers other than `asker`, newest first.
     std::vector<recent_dispatch> by_others(const base::router_name& asker,
                                            base::monotonic_time now) const;
 
   private:
-    struct kept_dispatch {
+    struct stored_dispatch {
         engine_process process;
         std::uint32_t prefill_tokens = 0;
         base::router_name reporter;
@@ -49,7 +49,7 @@
     };
 
     recent_dispatches_settings settings_;
-    std::deque<kept_dispatch> newest_first_;
+    std::deque<stored_dispatch> newest_first_;
 };
 
 }  // namespace ferryroad::core::prefix
--- a/src/ferryroad/core/prefix/report_outbox.hpp
+++ b/src/ferryroad/core/prefix/report_outbox.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Reports on their way to the owners: folded, so that what an owner knows is not told again.
+/// Outgoing reports to the owners of prefix roots, deduplicated so that an owner is not sent again
+/// what it knows.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -15,58 +16,58 @@
 namespace ferryroad::core::prefix {
 
 struct report_outbox_settings {
-    /// A piece told lately is told again by an answer after this long at the earliest. Well
-    /// below the lifetime of an entry at the owner.
+    /// Minimum interval before an answer reports the same piece again. It is well below the
+    /// lifetime of an entry at the owner.
     base::duration repeat_answer_after = std::chrono::seconds(5);
-    /// And by a dispatch: longer, since the answer that follows proves more.
+    /// The same for a dispatch. It is longer because the answer that follows is better evidence.
     base::duration repeat_dispatch_after = std::chrono::seconds(10);
-    /// Pieces on engines remembered as reported.
-    std::size_t remembered = 8192;
-    /// Reports that wait for one owner at most; the oldest are dropped.
-    std::size_t waiting_per_owner = 512;
+    /// Maximum number of entries (one piece on one engine) remembered as reported.
+    std::size_t remembered_entries = 8192;
+    /// Maximum number of reports queued for one owner; the oldest are dropped.
+    std::size_t max_queued_per_owner = 512;
 };
 
-/// Reports for one owner, in the order in which they came.
+/// Reports for one owner, in order of arrival.
 struct report_batch {
     base::router_name owner;
     std::vector<prefix_report> reports;
 };
 
-/// Counts of what was told and what was spared.
 struct report_outbox_counters {
-    std::uint64_t pieces_queued = 0;    ///< Once for each report, whatever the number of owners.
-    std::uint64_t pieces_folded = 0;    ///< Known to be known: not told.
-    std::uint64_t reports_dropped = 0;  ///< Too many waited for one owner.
+    std::uint64_t pieces_queued = 0;        ///< Counted once per report, not per owner.
+    std::uint64_t pieces_deduplicated = 0;  ///< Left out, because the owner knows them.
+    std::uint64_t reports_dropped = 0;      ///< Dropped, because the queue of an owner was full.
 };
 
-/// Pure; sending is the caller's.
+/// Collects reports for sending by the caller. Does no I/O and reads no clock. Not thread-safe.
 class report_outbox {
   public:
     explicit report_outbox(report_outbox_settings settings = {});
 
-    /// Queues for `owners` what of the report they don't know yet.
+    /// Queues the part of the report that `owners` don't know yet.
     void add(const std::vector<base::router_name>& owners, prefix_report report,
              base::monotonic_time now);
-    /// @return all that waits, one batch for each owner; nothing waits afterwards.
+    /// Empties the queues.
+    /// @return the queued reports, one batch per owner.
     std::vector<report_batch> take();
-    bool empty() const { return waiting_.empty(); }
+    bool empty() const { return queued_.empty(); }
 
-    /// The batch did not arrive: its pieces will be told again when next reported.
+    /// Records that a batch was not delivered. Its pieces are sent again when next reported.
     void record_lost(const report_batch& batch);
-    /// An owner answered with `known_to_owner`: pieces that it doesn't know of an engine, though
-    /// they were told, will be told again when next reported.
+    /// Compares the answer of an owner with the pieces reported to it. Pieces that the owner does
+    /// not know are sent again when next reported.
     void reconcile(const cache_namespace& scope, const piece_chain& pieces,
                    const std::vector<holder>& known_to_owner, base::monotonic_time now);
 
     const report_outbox_counters& counters() const { return counters_; }
 
   private:
-    /// Takes pieces out that were told lately, and remembers the others.
-    void fold(prefix_report& report, base::monotonic_time now);
+    /// Removes the pieces that were reported recently, and remembers the others as reported.
+    void remove_reported(prefix_report& report, base::monotonic_time now);
 
     report_outbox_settings settings_;
-    prefix_index told_;
-    std::map<base::router_name, std::vector<prefix_report>> waiting_;
+    prefix_index reported_;
+    std::map<base::router_name, std::vector<prefix_report>> queued_;
     report_outbox_counters counters_;
 };
 
--- a/src/ferryroad/core/quarantine/crash_suspects.hpp
+++ b/src/ferryroad/core/quarantine/crash_suspects.hpp
@@ -139,8 +139,8 @@
   private:
     struct tally {
         std::uint32_t crashes = 0;
-        double weighted_crashes =
-            0;  ///< Crashes, weighted by `running_crash_weight` if it had produced output.
+        /// Crashes, weighted by `running_crash_weight` if the request had produced output.
+        double weighted_crashes = 0;
         double share = 0;
         base::monotonic_time newest{};
     };
--- a/src/ferryroad/core/routing/cost_policy.cpp
+++ b/src/ferryroad/core/routing/cost_policy.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// @return position of the candidate that holds the longest match, the first among equals.
+/// @return the position of the candidate with the longest cached prefix, the first among equals.
 std::size_t longest_holder(const std::vector<candidate>& candidates) {
     const auto longest = std::max_element(candidates.begin(), candidates.end(),
                                           [](const candidate& left, const candidate& right) {
@@ -18,10 +18,10 @@
     return static_cast<std::size_t>(longest - candidates.begin());
 }
 
-/// Replaces prefill by import of what `available_pieces` has beyond the candidate's own,
-/// where that is faster.
-void weigh_import(const routing_query& query, std::uint32_t available_pieces,
-                  candidate_figures& figures) {
+/// Replaces the prefill of the pieces that the candidate lacks, up to `available_pieces`, by an
+/// import if that is faster.
+void consider_import(const routing_query& query, std::uint32_t available_pieces,
+                     candidate_figures& figures) {
     if (!query.import.allowed || available_pieces <= figures.cached_pieces) {
         return;
     }
@@ -36,7 +36,7 @@
     }
 }
 
-/// @return prefill seconds spent on pieces that another candidate holds.
+/// @return the prefill time spent on pieces that another candidate caches.
 base::duration avoidable_prefill(const routing_query& query, std::uint32_t available_pieces,
                                  const candidate_figures& figures) {
     const std::uint32_t ready = figures.cached_pieces + figures.imported_pieces;
@@ -55,18 +55,18 @@
     return figures.queue_wait + figures.import + figures.prefill;
 }
 
-/// Adds up to `wanted` positions not yet in `weighed`, drawn without replacement.
-void add_random(std::vector<bool>& weighed, std::size_t wanted, base::random_source& random) {
+/// Marks up to `wanted` further random positions in `evaluated`.
+void add_random(std::vector<bool>& evaluated, std::size_t wanted, base::random_source& random) {
     std::vector<std::size_t> others;
-    for (std::size_t position = 0; position < weighed.size(); ++position) {
-        if (!weighed[position]) {
+    for (std::size_t position = 0; position < evaluated.size(); ++position) {
+        if (!evaluated[position]) {
             others.push_back(position);
         }
     }
     for (std::size_t drawn = 0; drawn < wanted && drawn < others.size(); ++drawn) {
         const std::size_t other = drawn + random.below(others.size() - drawn);
         std::swap(others[drawn], others[other]);
-        weighed[others[drawn]] = true;
+        evaluated[others[drawn]] = true;
     }
 }
 
@@ -82,16 +82,16 @@
         return std::nullopt;
     }
     const std::vector<bool> rendezvous = rendezvous_choices(query);
-    const std::vector<bool> selected = weighed_candidates(query, rendezvous, random);
-    decision made = weigh(query, rendezvous, selected);
-    if (made.expected_first_token > query.time_left && scope_ == candidate_scope::selected) {
-        made = weigh(query, rendezvous, std::vector<bool>(query.candidates.size(), true));
+    const std::vector<bool> selected = select_candidates(query, rendezvous, random);
+    decision result = evaluate(query, rendezvous, selected);
+    if (result.expected_first_token > query.time_left && scope_ == candidate_scope::selected) {
+        result = evaluate(query, rendezvous, std::vector<bool>(query.candidates.size(), true));
     }
-    return made;
+    return result;
 }
 
-decision cost_policy::weigh(const routing_query& query, const std::vector<bool>& rendezvous,
-                            const std::vector<bool>& weighed) const {
+decision cost_policy::evaluate(const routing_query& query, const std::vector<bool>& rendezvous,
+                               const std::vector<bool>& evaluated) const {
     const std::size_t holder = longest_holder(query.candidates);
     const std::uint32_t available = query.candidates[holder].cached_pieces;
     const double price_above_time = std::max(query.recompute_price, 1.0) - 1.0;
@@ -101,47 +101,48 @@
         return left_in_time != right_in_time ? left_in_time : left.cost < right.cost;
     };
 
-    decision made;
+    decision result;
     for (std::size_t position = 0; position < query.candidates.size(); ++position) {
-        if (!weighed[position]) {
+        if (!evaluated[position]) {
             continue;
         }
         candidate_figures figures = estimate_figures(query, position);
-        weigh_import(query, available, figures);
+        consider_import(query, available, figures);
         const base::duration avoidable = avoidable_prefill(query, available, figures);
-        const base::duration priced = avoidable + copy_cost(query, figures);
+        const base::duration priced = avoidable + import_cost(query, figures);
         figures.cost = first_token(figures) + scaled(priced, price_above_time);
         if (!rendezvous[position] && figures.cached_pieces == 0) {
-            figures.cost += stray_penalty(query, position);
+            figures.cost += off_order_penalty(query, position);
         }
-        made.considered.push_back(figures);
+        result.considered.push_back(figures);
     }
     const candidate_figures& best =
-        *std::min_element(made.considered.begin(), made.considered.end(), better);
-    made.chosen = best.candidate;
-    made.expected_first_token = first_token(best);
+        *std::min_element(result.considered.begin(), result.considered.end(), better);
+    result.chosen = best.candidate;
+    result.expected_first_token = first_token(best);
     if (best.imported_pieces > 0) {
-        made.import = import_plan{holder, best.cached_pieces + best.imported_pieces};
+        result.import = import_plan{holder, best.cached_pieces + best.imported_pieces};
     }
-    return made;
+    return result;
 }
 
-base::duration cost_policy::copy_cost(const routing_query& query,
-                                      const candidate_figures& figures) const {
+base::duration cost_policy::import_cost(const routing_query& query,
+                                        const candidate_figures& figures) const {
     const double tokens = 1.0 * figures.imported_pieces * query.piece_tokens;
     const double seconds = tokens / prefill_rate(query.candidates[figures.candidate]);
-    return base::from_seconds(seconds * tunables_.copy_price);
+    return base::from_seconds(seconds * tunables_.import_price);
 }
 
-base::duration cost_policy::stray_penalty(const routing_query& query, std::size_t position) const {
+base::duration cost_policy::off_order_penalty(const routing_query& query,
+                                              std::size_t position) const {
     const double piece_seconds = query.piece_tokens / prefill_rate(query.candidates[position]);
-    return base::from_seconds(piece_seconds * tunables_.stray_penalty_pieces);
+    return base::from_seconds(piece_seconds * tunables_.off_order_penalty_pieces);
 }
 
 std::vector<bool> cost_policy::rendezvous_choices(const routing_query& query) const {
     std::vector<bool> chosen(query.candidates.size(), false);
-    // Depths 1, 2, 4, ... pieces: every prompt that shares the first n pieces with another
-    // shares at least half of these choices' depths with it.
+    // Depths 1, 2, 4, ... pieces: two prompts that share the first n pieces have the choices at all
+    // of these depths up to n in common.
     for (std::size_t depth = 1; depth <= query.pieces.size(); depth *= 2) {
         const auto order = rendezvous_order(query.candidates, query.pieces[depth - 1],
                                             tunables_.rendezvous_choices);
@@ -152,20 +153,20 @@
     return chosen;
 }
 
-std::vector<bool> cost_policy::weighed_candidates(const routing_query& query,
-                                                  const std::vector<bool>& rendezvous,
-                                                  base::random_source& random) const {
+std::vector<bool> cost_policy::select_candidates(const routing_query& query,
+                                                 const std::vector<bool>& rendezvous,
+                                                 base::random_source& random) const {
     if (scope_ == candidate_scope::all) {
         return std::vector<bool>(query.candidates.size(), true);
     }
-    std::vector<bool> weighed = rendezvous;
+    std::vector<bool> evaluated = rendezvous;
     for (std::size_t position = 0; position < query.candidates.size(); ++position) {
         if (query.candidates[position].cached_pieces > 0) {
-            weighed[position] = true;
+            evaluated[position] = true;
         }
     }
-    add_random(weighed, tunables_.random_choices, random);
-    return weighed;
+    add_random(evaluated, tunables_.random_choices, random);
+    return evaluated;
 }
 
 }  // namespace ferryroad::core::routing
--- a/src/ferryroad/core/routing/cost_policy.hpp
+++ b/src/ferryroad/core/routing/cost_policy.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// The product's policy: least estimated time to first token, with a price on recomputation.
+/// Default routing policy: minimizes the estimated time to first token plus the cost of avoidable
+/// recomputation.
 #pragma once
 
 #include "ferryroad/core/routing/policy.hpp"
@@ -9,21 +10,21 @@
 
 namespace ferryroad::core::routing {
 
-/// Which candidates are weighed.
+/// Which candidates are evaluated.
 enum class candidate_scope {
-    /// Holders of pieces, rendezvous choices at several depths and a few random ones: what a
-    /// router that follows a subset of a large pool can know.
+    /// Holders of pieces, rendezvous choices at several depths and a few random ones. A router that
+    /// follows only a subset of a large pool knows these.
     selected,
-    all
+    all  ///< All candidates of the query.
 };
 
-/// Weighs queue wait + prefill of missing pieces (or import of them, where that is cheaper)
-/// + price x avoidable recomputation. Avoidable are pieces that some candidate holds and
-/// this one would compute again. Candidates that can't meet `time_left` lose to those that
-/// can, and all candidates are weighed where none of the selected ones can.
+/// The cost of a candidate is queue wait + prefill of missing pieces (or their import, if that is
+/// faster) + price x avoidable recomputation. Pieces are avoidable if another candidate caches them
+/// and this one would compute them again. Candidates that can meet `time_left` are preferred to
+/// those that can't. If none of the selected candidates can, all candidates are evaluated.
 class cost_policy final : public policy {
   public:
-    /// @param reported_name what `name()` says.
+    /// @param reported_name the result of `name()`; must outlive the policy.
     cost_policy(std::string_view reported_name, candidate_scope scope,
                 routing_tunables tunables = default_routing_tunables);
 
@@ -32,17 +33,18 @@
                                    base::random_source& random) override;
 
   private:
-    /// Weighs the marked candidates.
-    decision weigh(const routing_query& query, const std::vector<bool>& rendezvous,
-                   const std::vector<bool>& weighed) const;
-    /// @return what the moved copies cost beyond their time.
-    base::duration copy_cost(const routing_query& query, const candidate_figures& figures) const;
-    base::duration stray_penalty(const routing_query& query, std::size_t position) const;
-    /// @return which candidates stand in the rendezvous order at some depth of the prompt.
+    /// Evaluates the marked candidates and chooses the best.
+    decision evaluate(const routing_query& query, const std::vector<bool>& rendezvous,
+                      const std::vector<bool>& evaluated) const;
+    /// @return the cost of the cache space taken by imported pieces.
+    base::duration import_cost(const routing_query& query, const candidate_figures& figures) const;
+    /// @return the penalty of a candidate outside the rendezvous order and without cached pieces.
+    base::duration off_order_penalty(const routing_query& query, std::size_t position) const;
+    /// @return for each candidate, whether it is a rendezvous choice at some depth of the prompt.
     std::vector<bool> rendezvous_choices(const routing_query& query) const;
-    std::vector<bool> weighed_candidates(const routing_query& query,
-                                         const std::vector<bool>& rendezvous,
-                                         base::random_source& random) const;
+    std::vector<bool> select_candidates(const routing_query& query,
+                                        const std::vector<bool>& rendezvous,
+                                        base::random_source& random) const;
 
     std::string_view name_;
     candidate_scope scope_;
--- a/src/ferryroad/core/routing/estimate.cpp
+++ b/src/ferryroad/core/routing/estimate.cpp
@@ -50,11 +50,11 @@
 }
 
 decision decide_without_import(const routing_query& query, std::size_t position) {
-    decision made;
-    made.chosen = position;
-    made.considered.push_back(estimate_figures(query, position));
-    made.expected_first_token = made.considered.front().cost;
-    return made;
+    decision result;
+    result.chosen = position;
+    result.considered.push_back(estimate_figures(query, position));
+    result.expected_first_token = result.considered.front().cost;
+    return result;
 }
 
 }  // namespace ferryroad::core::routing
--- a/src/ferryroad/core/routing/import_limiter.cpp
+++ b/src/ferryroad/core/routing/import_limiter.cpp
@@ -13,10 +13,10 @@
 }  // namespace
 
 bool import_limiter::begin(const import_move& move, base::monotonic_time now) {
-    forget_ended(now);
+    drop_expired(now);
     const bool in_flight =
         std::any_of(moves_.begin(), moves_.end(),
-                    [&move](const begun_move& each) { return same(each.move, move); });
+                    [&move](const active_move& each) { return same(each.move, move); });
     if (in_flight) {
         ++counters_.same_in_flight;
         return false;
@@ -31,27 +31,27 @@
 }
 
 void import_limiter::finish(const import_move& move) {
-    std::erase_if(moves_, [&move](const begun_move& each) { return same(each.move, move); });
+    std::erase_if(moves_, [&move](const active_move& each) { return same(each.move, move); });
 }
 
 std::size_t import_limiter::under_way(base::monotonic_time now) {
-    forget_ended(now);
+    drop_expired(now);
     return moves_.size();
 }
 
-void import_limiter::forget_ended(base::monotonic_time now) {
-    std::erase_if(moves_, [this, now](const begun_move& each) {
-        return now - each.begun_at >= limits_.longest;
+void import_limiter::drop_expired(base::monotonic_time now) {
+    std::erase_if(moves_, [this, now](const active_move& each) {
+        return now - each.started_at >= limits_.longest;
     });
 }
 
 bool import_limiter::over_limit(const import_move& move) const {
     const auto of_source =
         std::count_if(moves_.begin(), moves_.end(),
-                      [&move](const begun_move& each) { return each.move.source == move.source; });
+                      [&move](const active_move& each) { return each.move.source == move.source; });
     const auto of_target =
         std::count_if(moves_.begin(), moves_.end(),
-                      [&move](const begun_move& each) { return each.move.target == move.target; });
+                      [&move](const active_move& each) { return each.move.target == move.target; });
     const auto most = static_cast<std::ptrdiff_t>(limits_.per_engine);
     return moves_.size() >= limits_.at_once || of_source >= most || of_target >= most;
 }
--- a/src/ferryroad/core/routing/import_limiter.hpp
+++ b/src/ferryroad/core/routing/import_limiter.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How many moves of warm state go on at once, and never the same one twice.
+/// Limits concurrent imports of cached state between engines, and prevents duplicate ones.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -12,13 +12,13 @@
 namespace ferryroad::core::routing {
 
 struct import_limits {
-    std::size_t at_once = 8;     ///< Begun by this router.
-    std::size_t per_engine = 2;  ///< To one target, and from one source.
-    /// A move whose end nobody reported counts as ended after this.
+    std::size_t at_once = 8;     ///< Maximum number of concurrent moves started by this router.
+    std::size_t per_engine = 2;  ///< Maximum number per target and per source.
+    /// Time after which a move counts as ended if its end was not reported.
     base::duration longest = std::chrono::seconds(5);
 };
 
-/// One move: pieces up to `deepest`, from engine to engine.
+/// Import of the pieces up to `deepest` from one engine into another.
 struct import_move {
     base::piece_hash deepest;
     base::engine_name source;
@@ -27,34 +27,38 @@
 
 struct import_counters {
     std::uint64_t begun = 0;
-    std::uint64_t same_in_flight = 0;  ///< Not begun: it is already under way.
-    std::uint64_t over_limit = 0;      ///< Not begun: too many are.
+    std::uint64_t same_in_flight = 0;  ///< Not started, because the same move was in progress.
+    std::uint64_t over_limit = 0;      ///< Not started, because a limit was reached.
 };
 
-/// Pure. Single flight for each (prefix, target); caps for the router and each engine.
+/// Allows one move at a time for each (prefix, target), and limits the moves of the router and of
+/// each engine. Does no I/O and reads no clock. Not thread-safe.
 class import_limiter {
   public:
     explicit import_limiter(import_limits limits = {}) : limits_(limits) {}
 
-    /// @return true where the move may begin; it then counts until `finish` or its time is up.
+    /// Starts a move if the limits allow it.
+    /// @return whether the move may start. It then counts until `finish`, or until
+    /// `import_limits::longest` has passed.
     bool begin(const import_move& move, base::monotonic_time now);
-    /// The move ended, well or not. Unknown ones are ignored.
+    /// Records that a move has succeeded or failed. Unknown moves are ignored.
     void finish(const import_move& move);
 
+    /// @return the number of moves in progress.
     std::size_t under_way(base::monotonic_time now);
     const import_counters& counters() const { return counters_; }
 
   private:
-    struct begun_move {
+    struct active_move {
         import_move move;
-        base::monotonic_time begun_at;
+        base::monotonic_time started_at;
     };
 
-    void forget_ended(base::monotonic_time now);
+    void drop_expired(base::monotonic_time now);
     bool over_limit(const import_move& move) const;
 
     import_limits limits_;
-    std::vector<begun_move> moves_;
+    std::vector<active_move> moves_;
     import_counters counters_;
 };
 
--- a/src/ferryroad/core/routing/index_only.hpp
+++ b/src/ferryroad/core/routing/index_only.hpp
@@ -1,12 +1,13 @@
 /// @file
-/// Baseline: the longest match of the learned index.
+/// Baseline policy: the longest match of the learned index.
 #pragma once
 
 #include "ferryroad/core/routing/policy.hpp"
 
 namespace ferryroad::core::routing {
 
-/// Takes the longest known match, the shortest wait among equals.
+/// Chooses the engine with the longest known match, and among equals the one with the shortest
+/// wait.
 class index_only final : public policy {
   public:
     static constexpr std::string_view policy_name = "index_only";
--- a/src/ferryroad/core/routing/least_loaded.hpp
+++ b/src/ferryroad/core/routing/least_loaded.hpp
@@ -1,12 +1,13 @@
 /// @file
-/// Baseline: the engine with the shortest queue.
+/// Baseline policy: the engine with the shortest queue.
 #pragma once
 
 #include "ferryroad/core/routing/policy.hpp"
 
 namespace ferryroad::core::routing {
 
-/// Takes the least estimated wait, then the fewest requests, then any of these.
+/// Chooses the engine with the shortest estimated wait, among equals the one with the fewest
+/// requests, and among equals of these a random one.
 class least_loaded final : public policy {
   public:
     static constexpr std::string_view policy_name = "least_loaded";
--- a/src/ferryroad/core/routing/rendezvous.hpp
+++ b/src/ferryroad/core/routing/rendezvous.hpp
@@ -1,12 +1,13 @@
 /// @file
-/// Baseline: rendezvous hashing of the prompt's middle piece.
+/// Baseline policy: rendezvous hashing of the prompt's middle piece.
 #pragma once
 
 #include "ferryroad/core/routing/policy.hpp"
 
 namespace ferryroad::core::routing {
 
-/// Takes the highest rendezvous score for the middle piece, whatever the load.
+/// Chooses the engine with the highest rendezvous score for the middle piece, without regard to
+/// load.
 class rendezvous final : public policy {
   public:
     static constexpr std::string_view policy_name = "rendezvous";
--- a/src/ferryroad/core/routing/rendezvous_bounded.hpp
+++ b/src/ferryroad/core/routing/rendezvous_bounded.hpp
@@ -1,12 +1,14 @@
 /// @file
-/// Baseline: rendezvous hashing of the middle piece, bounded by load.
+/// Baseline policy: rendezvous hashing of the middle piece with bounded load.
 #pragma once
 
 #include "ferryroad/core/routing/policy.hpp"
 
 namespace ferryroad::core::routing {
 
-/// Takes the first engine in rendezvous order whose wait is within a bound of the mean.
+/// Chooses the first engine in rendezvous order whose wait is at most `bounded_load_factor` times
+/// the mean wait plus `bounded_load_slack`. If none of the first `bounded_load_choices` engines
+/// meets this, the one with the shortest wait is chosen.
 class rendezvous_bounded final : public policy {
   public:
     static constexpr std::string_view policy_name = "rendezvous_bounded";
--- a/src/ferryroad/core/routing/rendezvous_order.hpp
+++ b/src/ferryroad/core/routing/rendezvous_order.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Candidates in rendezvous order of a piece: the same at every router, and only the lost
-/// engine's keys move when one goes.
+/// Rendezvous order of candidates for a piece. It is the same at all routers, and when an engine
+/// leaves, only its own keys move.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -12,12 +12,13 @@
 
 namespace ferryroad::core::routing {
 
-/// @return positions of the `count` highest scores for `key`, best first.
+/// @return the positions of the candidates with the `count` highest scores for `key`, highest
+/// first.
 std::vector<std::size_t> rendezvous_order(const std::vector<candidate>& candidates,
                                           base::piece_hash key, std::size_t count);
 
-/// @return the piece in the middle of the chain; a random key for an empty one, since prompts
-/// without a whole piece share nothing.
+/// @return the piece in the middle of the chain. For an empty chain it is random, since prompts
+/// without a complete piece share no state.
 base::piece_hash middle_piece(const core::prefix::piece_chain& pieces, base::random_source& random);
 
 }  // namespace ferryroad::core::routing
--- a/src/ferryroad/core/routing/round_robin.hpp
+++ b/src/ferryroad/core/routing/round_robin.hpp
@@ -1,12 +1,12 @@
 /// @file
-/// Baseline: each engine in turn.
+/// Baseline policy: each engine in turn.
 #pragma once
 
 #include "ferryroad/core/routing/policy.hpp"
 
 namespace ferryroad::core::routing {
 
-/// Takes the engines in the order of their names, each router on its own.
+/// Chooses the engines in the order of their names, independently at each router.
 class round_robin final : public policy {
   public:
     static constexpr std::string_view policy_name = "round_robin";
--- a/src/ferryroad/core/routing/types.hpp
+++ b/src/ferryroad/core/routing/types.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What a routing policy is asked and what it answers.
+/// Queries to routing policies and their decisions.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -13,50 +13,50 @@
 
 namespace ferryroad::core::routing {
 
-/// An engine that may get the request.
+/// An engine that the request may be routed to.
 struct candidate {
     base::engine_name engine;
     base::incarnation incarnation;
-    /// Estimated time until a new request's own prefill begins.
+    /// Estimated time until the prefill of a new request starts.
     base::duration queue_wait{};
     double prefill_tokens_per_second = 0;  ///< 0: not known.
-    std::uint32_t outstanding = 0;         ///< Requests queued or running there.
-    std::uint32_t cached_pieces = 0;       ///< Leading pieces it is believed to hold.
+    std::uint32_t outstanding = 0;         ///< Requests queued or running at the engine.
+    std::uint32_t cached_pieces = 0;       ///< Leading pieces that it is assumed to cache.
 };
 
-/// What moving warm state between engines is believed to take.
+/// Estimated time to import cached state from another engine.
 struct import_estimate {
     bool allowed = false;
-    base::duration fixed{};      ///< Paid once a move.
-    base::duration per_piece{};  ///< Export, transfer and import of one piece.
+    base::duration fixed{};      ///< Fixed time of an import.
+    base::duration per_piece{};  ///< Time to export, transfer and import one piece.
 };
 
-/// One request to be placed.
+/// A request to be routed.
 struct routing_query {
-    core::prefix::piece_chain pieces;  ///< Leading whole pieces, root first; may be empty.
+    core::prefix::piece_chain pieces;  ///< Leading complete pieces, root first; may be empty.
     std::uint64_t prompt_tokens = 0;
-    std::uint32_t piece_tokens = 0;
-    /// Seconds that one second of avoidable prefill is worth. 1 weighs time to first token
-    /// alone; less counts as 1.
+    std::uint32_t piece_tokens = 0;  ///< Tokens in a piece.
+    /// Cost in seconds of one second of avoidable prefill. With 1 only the time to first token
+    /// counts; smaller values count as 1.
     double recompute_price = 1.0;
     import_estimate import;
-    /// The first token is worth nothing later than this.
+    /// Time until the deadline of the first token.
     base::duration time_left = base::duration::max();
     std::vector<candidate> candidates;  ///< In any order; names are unique.
 };
 
-/// One weighed candidate's figures.
+/// Figures of one evaluated candidate.
 struct candidate_figures {
     std::size_t candidate = 0;  ///< Position in `routing_query::candidates`.
     std::uint32_t cached_pieces = 0;
-    std::uint32_t imported_pieces = 0;  ///< Moved in before the request; 0: no move.
+    std::uint32_t imported_pieces = 0;  ///< Pieces to import before the request; 0: no import.
     base::duration queue_wait{};
-    base::duration prefill{};  ///< Of what is neither cached nor imported.
-    base::duration import{};
-    base::duration cost{};  ///< What was compared: the least wins.
+    base::duration prefill{};  ///< Prefill time of the pieces neither cached nor imported.
+    base::duration import{};   ///< Time of the import.
+    base::duration cost{};     ///< Cost of the candidate; the lowest is chosen.
 };
 
-/// Pieces to move to the chosen engine before it gets the request.
+/// Import of leading pieces into the chosen engine before it gets the request.
 struct import_plan {
     std::size_t source = 0;  ///< Position in `routing_query::candidates`.
     std::uint32_t pieces = 0;
@@ -66,7 +66,8 @@
     std::size_t chosen = 0;  ///< Position in `routing_query::candidates`.
     base::duration expected_first_token{};
     std::optional<import_plan> import;
-    std::vector<candidate_figures> considered;  ///< Holds the chosen one, in no order.
+    /// The evaluated candidates, including the chosen one, in no particular order.
+    std::vector<candidate_figures> considered;
 };
 
 }  // namespace ferryroad::core::routing
--- a/test/core/placement/engine_draw_test.cpp
+++ b/test/core/placement/engine_draw_test.cpp
@@ -1,5 +1,5 @@
-/// A request draws a few engines: sound ones first, mostly of its own region, some that a
-/// connection is kept to.
+/// Drawing prefers healthy engines, engines of the router's own region and, for up to half of
+/// them, engines with an open connection.
 #include "ferryroad/core/placement/engine_draw.hpp"
 
 #include <criterion/criterion.h>
@@ -16,7 +16,7 @@
     for (std::size_t index = 0; index < count; ++index) {
         drawable_engine one;
         one.index = index;
-        one.score = index * 7919 % 1009;  // Any order but the list's.
+        one.score = index * 7919 % 1009;  // Differs from the order of the list.
         all.push_back(one);
     }
     return all;
@@ -48,7 +48,7 @@
     cr_assert(draw_engines({}, {}).empty());
 }
 
-Test(engine_draw, suspended_engines_are_drawn_only_where_too_few_others_are) {
+Test(engine_draw, unhealthy_engines_are_drawn_only_if_too_few_others_are_left) {
     auto all = numbered(40);
     for (std::size_t index = 10; index < 40; ++index) {
         all[index].sound = false;
@@ -59,7 +59,7 @@
     cr_assert_eq(count_drawn(drawn, all, &drawable_engine::sound), 10);
 }
 
-Test(engine_draw, other_regions_have_a_small_part_while_the_own_has_room) {
+Test(engine_draw, other_regions_have_a_small_share_if_the_own_region_has_enough_engines) {
     auto all = numbered(90);
     for (std::size_t index = 30; index < 90; ++index) {
         all[index].far = true;
@@ -68,7 +68,7 @@
     cr_assert_eq(count_drawn(draw_engines(all, {}), all, &drawable_engine::far), 4);
 }
 
-Test(engine_draw, other_regions_fill_up_before_unsound_engines) {
+Test(engine_draw, other_regions_fill_up_before_unhealthy_engines) {
     auto all = numbered(60);
     for (std::size_t index = 0; index < 60; ++index) {
         all[index].far = index >= 20;
@@ -80,11 +80,11 @@
     cr_assert_eq(count_drawn(drawn, all, &drawable_engine::sound), 16);
 }
 
-Test(engine_draw, at_most_half_are_drawn_because_a_connection_is_kept) {
+Test(engine_draw, at_most_half_are_drawn_because_of_an_open_connection) {
     auto all = numbered(100);
     for (std::size_t index = 50; index < 100; ++index) {
         all[index].connected = true;
-        all[index].score /= 1000;  // By their scores none would be drawn.
+        all[index].score /= 1000;  // By score alone none of them would be drawn.
     }
     cr_assert_eq(count_drawn(draw_engines(all, {}), all, &drawable_engine::connected), 8);
 }
--- a/test/core/placement/engine_load_view_test.cpp
+++ b/test/core/placement/engine_load_view_test.cpp
@@ -1,4 +1,4 @@
-/// Statements of other routers: whole, summed, and forgotten in silence.
+/// Load reports of other routers are summed, replaced by later ones, and expire.
 #include "ferryroad/core/placement/engine_load_view.hpp"
 
 #include <criterion/criterion.h>
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-Test(engine_load_view, adds_up_what_routers_state) {
+Test(engine_load_view, sums_the_reports_of_routers) {
     engine_load_view view;
     view.state(first, {{engine, 2, 700, {}}}, start);
     view.state(second, {{engine, 3, 50, {}}, {base::engine_name("e2"), 1, 0, {}}}, start);
@@ -25,14 +25,14 @@
     cr_assert_eq(totals.size(), 2);
 }
 
-Test(engine_load_view, a_statement_replaces_the_senders_last_one) {
+Test(engine_load_view, a_report_replaces_the_senders_previous_one) {
     engine_load_view view;
     view.state(first, {{engine, 2, 700, {}}}, start);
     view.state(first, {}, start);
     cr_assert(view.totals(start).empty());
 }
 
-Test(engine_load_view, silence_ends_a_statement) {
+Test(engine_load_view, a_report_expires) {
     engine_load_view view(1500ms);
     view.state(first, {{engine, 2, 700, {}}}, start);
     cr_assert_eq(view.totals(start + 1499ms).size(), 1);
@@ -42,7 +42,7 @@
     cr_assert(view.totals(start + 1500ms).empty());
 }
 
-Test(engine_load_view, a_refusal_lasts_as_long_as_it_was_said_to) {
+Test(engine_load_view, a_refusal_lasts_for_the_reported_time) {
     engine_load_view view;
     view.state(first, {{engine, 0, 0, 300ms}}, start);
     cr_assert(view.totals(start + 299ms).at(engine).refuses);
--- a/test/core/placement/gap_pressure_test.cpp
+++ b/test/core/placement/gap_pressure_test.cpp
@@ -1,4 +1,4 @@
-/// The pressure follows how often streams pause for almost too long.
+/// The pressure follows the share of streams with long gaps.
 #include "ferryroad/core/placement/gap_pressure.hpp"
 
 #include <criterion/criterion.h>
@@ -6,11 +6,11 @@
 using namespace ferryroad::core::placement;
 using namespace std::chrono_literals;
 
-Test(gap_pressure, begins_in_the_middle) {
+Test(gap_pressure, starts_at_one_half) {
     cr_assert_float_eq(gap_pressure().level(), 0.5, 1e-9);
 }
 
-Test(gap_pressure, sound_streams_take_it_away) {
+Test(gap_pressure, streams_without_long_gaps_lower_it) {
     gap_pressure pressure;
     for (int stream = 0; stream < 300; ++stream) {
         pressure.record(100ms, 200ms);
@@ -18,7 +18,7 @@
     cr_assert_lt(pressure.level(), 0.01);
 }
 
-Test(gap_pressure, one_stream_in_ten_that_pauses_makes_it_full) {
+Test(gap_pressure, one_stream_in_ten_with_long_gaps_saturates_it) {
     gap_pressure pressure;
     for (int stream = 0; stream < 300; ++stream) {
         pressure.record(stream % 10 == 0 ? 360ms : 100ms, 500ms);
--- a/test/core/placement/placement_regions_test.cpp
+++ b/test/core/placement/placement_regions_test.cpp
@@ -1,5 +1,5 @@
-/// Distance in placing: nothing changes within one region; between regions the way, the bytes and
-/// what is moved are weighed.
+/// Placement over several regions: within one region the costs are the same as without regions;
+/// between regions latency, traffic and the fetching of state count.
 #include "ferryroad/core/placement/placement.hpp"
 
 #include <criterion/criterion.h>
@@ -26,7 +26,7 @@
     return query.candidates[choose_engine(query, placement_tunables{})->candidate].name.value;
 }
 
-/// The cost as it was reckoned before regions were known, to be kept where there is one.
+/// Reference implementation without regions, whose cost must result with a single region.
 double cost_in_one_region(const placement_query& query, const engine_candidate& engine,
                           const placement_tunables& tunables) {
     const std::uint64_t warm = std::min(engine.warm_tokens, query.shared_tokens);
@@ -34,7 +34,7 @@
         std::min(std::max(engine.fetchable_tokens, warm), query.shared_tokens);
     const auto moved = static_cast<double>(held - warm);
     auto read = static_cast<double>(query.shared_tokens - held);
-    read *= engine.home ? 1 - tunables.home_warmth : 1.0;
+    read *= engine.home ? 1 - tunables.home_cached_share : 1.0;
     const auto pending = static_cast<double>(engine.pending_prefill_tokens);
     double cost = moved > 0 ? tunables.fetch_ms + moved * tunables.fetch_token_ms : 0.0;
     cost += read * tunables.recompute_factor / tunables.prefill_tokens_per_ms;
@@ -56,7 +56,8 @@
                 query.gap_pressure;
     }
     if (engine.away != topology::distance::same_zone) {
-        cost += tunables.other_zone_ms + (query.unseen_load > 1 ? tunables.unseen_zone_ms : 0.0);
+        cost +=
+            tunables.other_zone_ms + (query.unseen_load > 1 ? tunables.unknown_zone_load_ms : 0.0);
     }
     cost += engine.outdated ? tunables.outdated_ms : 0.0;
     return cost + (engine.suspended ? tunables.suspended_ms : 0.0);
@@ -71,16 +72,16 @@
     query.gap_pressure = static_cast<double>(below(11)) / 10;
     query.unseen_load = 1 + static_cast<double>(below(3));
     query.transfer_kb = static_cast<double>(below(60));
-    const std::uint64_t most_held = query.shared_tokens + 1;
+    const std::uint64_t max_cached = query.shared_tokens + 1;
     for (std::uint64_t index = 0; index < 1 + below(12); ++index) {
         const bool own = below(2) == 0;
         auto one =
             engine("e", own ? topology::distance::same_zone : topology::distance::other_zone);
         one.running = static_cast<std::uint32_t>(below(40));
         one.pending_prefill_tokens = below(3) * below(20000);
-        one.warm_tokens = below(2) * below(most_held);
-        one.fetchable_tokens = below(2) * below(most_held);
-        one.far_fetchable_tokens = one.fetchable_tokens;  // Nothing is far.
+        one.warm_tokens = below(2) * below(max_cached);
+        one.fetchable_tokens = below(2) * below(max_cached);
+        one.far_fetchable_tokens = one.fetchable_tokens;  // There is only one region.
         one.home = below(5) == 0;
         one.outdated = below(4) == 0;
         one.suspended = below(6) == 0;
@@ -91,7 +92,7 @@
 
 }  // namespace
 
-Test(placement_regions, in_one_region_every_choice_is_as_it_was) {
+Test(placement_regions, a_single_region_gives_the_same_costs_as_without_regions) {
     std::mt19937_64 random(20);
     const placement_tunables tunables;
     for (int round = 0; round < 5000; ++round) {
@@ -111,7 +112,7 @@
     }
 }
 
-Test(placement_regions, a_near_region_wins_among_equals_and_a_far_one_when_the_near_is_full) {
+Test(placement_regions, another_region_wins_only_if_the_own_region_is_full) {
     auto own = engine("own", topology::distance::other_zone);
     const auto far = engine("far", topology::distance::other_region);
     cr_assert(winner({900, 0, {far, own}}) == "own");
@@ -122,9 +123,9 @@
     cr_assert(winner({900, 0, {far, own}}) == "far");
 }
 
-Test(placement_regions, the_way_and_the_bytes_count) {
+Test(placement_regions, latency_and_traffic_count) {
     auto busy = engine("own", topology::distance::other_zone);
-    busy.pending_prefill_tokens = 1800;  // 51 ms.
+    busy.pending_prefill_tokens = 1800;  // 51 ms of prefill.
     auto far = engine("far", topology::distance::other_region);
     placement_query query{900, 0, {far, busy}};
     cr_assert(winner(query) == "far");
@@ -135,7 +136,7 @@
     cr_assert(winner(query) == "own");
 }
 
-Test(placement_regions, a_request_goes_to_a_far_holder_rather_than_read_a_long_prompt_again) {
+Test(placement_regions, a_far_holder_wins_over_recomputing_a_long_prompt) {
     auto holder = engine("holder", topology::distance::other_region);
     holder.warm_tokens = 6300;
     auto own = engine("own", topology::distance::same_zone);
@@ -148,7 +149,7 @@
     cr_assert(winner(query) == "own");
 }
 
-Test(placement_regions, state_moves_from_nearby_or_from_afar_or_is_read_whichever_is_cheapest) {
+Test(placement_regions, state_is_fetched_or_recomputed_whichever_is_cheapest) {
     const placement_tunables tunables;
     auto own = engine("own", topology::distance::same_zone);
     const placement_query query{9200, 6300, {}};
--- a/test/core/placement/placement_test.cpp
+++ b/test/core/placement/placement_test.cpp
@@ -1,4 +1,4 @@
-/// Which engine wins, row by row.
+/// Selection of an engine for typical combinations of load, cached state and distance.
 #include "ferryroad/core/placement/placement.hpp"
 
 #include <criterion/criterion.h>
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-Test(placement, nothing_to_choose_from) {
+Test(placement, no_candidates) {
     cr_assert_not(choose_engine(placement_query{}, placement_tunables{}).has_value());
 }
 
@@ -45,13 +45,13 @@
     cr_assert_str_eq(winner(long_prompt({engine("a"), home})).c_str(), "b");
 }
 
-Test(placement, an_engine_that_can_fetch_beats_one_that_must_read) {
+Test(placement, an_engine_that_can_fetch_beats_one_that_must_recompute) {
     auto fetching = engine("b");
     fetching.fetchable_tokens = 9000;
     cr_assert_str_eq(winner(long_prompt({engine("a"), fetching})).c_str(), "b");
 }
 
-Test(placement, the_home_has_no_claim_on_what_others_hold) {
+Test(placement, the_home_is_not_preferred_to_a_holder) {
     auto home = engine("a");
     home.home = true;
     home.fetchable_tokens = 9000;
@@ -60,7 +60,7 @@
     cr_assert_str_eq(winner(long_prompt({home, holder})).c_str(), "b");
 }
 
-Test(placement, a_busy_holder_gives_its_state_to_another) {
+Test(placement, an_idle_engine_fetches_from_a_busy_holder) {
     auto holder = engine("a");
     holder.warm_tokens = 9000;
     holder.pending_prefill_tokens = 12000;
@@ -69,9 +69,9 @@
     cr_assert_str_eq(winner(long_prompt({holder, idle})).c_str(), "b");
 }
 
-Test(placement, a_long_reading_goes_where_it_pauses_few_streams) {
+Test(placement, a_long_prefill_goes_where_it_delays_few_streams) {
     auto crowded = engine("a");
-    crowded.slots = 1000;  // So that only the streams' pauses count.
+    crowded.slots = 1000;  // So that only the delays of streams count.
     crowded.running = 8;
     auto other_zone = engine("b");
     other_zone.away = topology::distance::other_zone;
@@ -83,7 +83,7 @@
     cr_assert_str_eq(winner(query).c_str(), "a");
     query.gap_pressure = 1;
     query.target_gap = std::chrono::milliseconds(600);
-    cr_assert_str_eq(winner(query).c_str(), "b");  // It is read for more than half of the gap.
+    cr_assert_str_eq(winner(query).c_str(), "b");  // The prefill takes more than half of the gap.
     query.target_gap = std::chrono::milliseconds(1200);
     cr_assert_str_eq(winner(query).c_str(), "a");
 }
@@ -124,7 +124,7 @@
     cr_assert_str_eq(winner(long_prompt({suspended})).c_str(), "a");
 }
 
-Test(placement, what_is_not_known_of_the_load_drives_requests_apart) {
+Test(placement, unknown_load_spreads_requests) {
     auto holder = engine("a");
     holder.warm_tokens = 9000;
     holder.pending_prefill_tokens = 6000;
@@ -136,7 +136,7 @@
     cr_assert_str_eq(winner(query).c_str(), "b");
 }
 
-Test(placement, an_engine_far_away_is_avoided_where_its_load_is_not_known) {
+Test(placement, a_zone_with_unknown_load_is_avoided) {
     auto near = engine("b");
     near.running = 32;
     auto far = engine("a");
--- a/test/core/placement/state_stores_test.cpp
+++ b/test/core/placement/state_stores_test.cpp
@@ -1,4 +1,4 @@
-/// Which store a prompt's state belongs to, and what is worth saving there.
+/// Selection of the state store for a prompt, and which state is worth saving.
 #include "ferryroad/core/placement/state_stores.hpp"
 
 #include <criterion/criterion.h>
@@ -50,14 +50,14 @@
     cr_assert_null(store_of(some_stores(), alone));
 }
 
-Test(state_stores, what_someone_holds_is_not_saved) {
+Test(state_stores, cached_state_is_not_saved) {
     cr_assert(is_worth_saving({6300, 0, 2900}));
     cr_assert(is_worth_saving({6300, 2500, 2900}));
     cr_assert_not(is_worth_saving({6300, 6300, 2900}));
     cr_assert_not(is_worth_saving({6300, 9000, 0}));
 }
 
-Test(state_stores, a_short_shared_beginning_does_not_carry_a_long_own_part_along) {
+Test(state_stores, a_short_shared_prefix_with_a_long_last_part_is_not_saved) {
     cr_assert_not(is_worth_saving({200, 0, 628}));
     cr_assert(is_worth_saving({6300, 0, 6300}));
     cr_assert_not(is_worth_saving({6300, 0, 6301}));
--- a/test/core/placement/warm_state_test.cpp
+++ b/test/core/placement/warm_state_test.cpp
@@ -1,4 +1,4 @@
-/// Beliefs on prompt state: expected, told, taken back, forgotten, bounded.
+/// Index of cached prompt state: expectations, events, expiry and bounds.
 #include "ferryroad/core/placement/warm_state.hpp"
 
 #include <criterion/criterion.h>
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-Test(warm_state, an_expected_prompt_is_held_until_it_should_have_been_told) {
+Test(warm_state, an_expectation_expires_without_an_event) {
     warm_state warm;
     warm.expect(prompt(), a, start);
     cr_assert_eq(warm.tokens_held(prompt(), a, start + 1s), 150);
@@ -31,7 +31,7 @@
     cr_assert_eq(warm.tokens_held(prompt(), a, start + 2s), 0);
 }
 
-Test(warm_state, a_long_prompt_may_take_longer_to_be_told_of) {
+Test(warm_state, a_long_prompt_may_be_confirmed_later) {
     warm_state warm;
     warm.follow(a, true);
     const std::vector<scoped_part> long_prompt = {{key_of("s", "m", "long"), 40000}};
@@ -40,13 +40,13 @@
     cr_assert_eq(warm.tokens_held(long_prompt, a, start + 2800ms), 0);
 }
 
-Test(warm_state, all_holders_of_a_beginning_are_known) {
+Test(warm_state, all_holders_of_a_prefix_are_known) {
     warm_state warm;
     warm.follow(a, true);
     warm.follow(b, true);
     warm.told(prompt()[0].key, a, 100, start);
     warm.told(prompt()[1].key, a, 20, start);
-    warm.told(prompt()[1].key, b, 50, start);  // Of no use without the part before it.
+    warm.told(prompt()[1].key, b, 50, start);  // Not usable without the part before it.
     const std::vector<holding> alone = {{a, 120, true}};
     cr_assert(warm.holdings(prompt(), start) == alone);
     warm.expect({prompt()[0]}, b, start);
@@ -62,7 +62,7 @@
     cr_assert_eq(warm.tokens_held(prompt(), a, start + 30s), 0);
 }
 
-Test(warm_state, what_a_followed_holder_told_holds_until_taken_back) {
+Test(warm_state, events_of_a_followed_holder_are_valid_until_revoked) {
     warm_state warm;
     warm.follow(a, true);
     for (const scoped_part& part : prompt()) {
@@ -75,7 +75,7 @@
     cr_assert_eq(warm.tokens_held(prompt(), a, start + 1h), 0);
 }
 
-Test(warm_state, a_part_is_of_no_use_without_those_before_it) {
+Test(warm_state, a_part_is_not_usable_without_those_before_it) {
     warm_state warm;
     warm.follow(a, true);
     warm.told(prompt()[1].key, a, 50, start);
@@ -99,7 +99,7 @@
     cr_assert_eq(warm.tokens_held(prompt(), b, start), 150);
 }
 
-Test(warm_state, a_lost_feed_turns_what_was_told_into_what_may_be) {
+Test(warm_state, after_losing_the_event_stream_state_expires) {
     warm_state warm;
     warm.follow(a, true);
     warm.told(prompt()[0].key, a, 100, start);
@@ -114,7 +114,7 @@
     cr_assert_neq(key_of("s", "m1", "p").value, key_of("s", "m2", "p").value);
 }
 
-Test(warm_state, is_bounded_and_forgets_what_was_used_longest_ago) {
+Test(warm_state, is_bounded_and_evicts_the_least_recently_used_part) {
     warm_state_tunables tunables;
     tunables.parts = 10;
     warm_state warm(tunables);
@@ -137,7 +137,7 @@
     cr_assert_eq(warm.tokens_held(prompt(), b, start + 3ms), 150);
 }
 
-Test(warm_state, who_holds_all_is_known_though_everyone_holds_the_first_part) {
+Test(warm_state, full_holders_are_found_if_all_hold_the_first_part) {
     warm_state warm;
     const auto parts = prompt();
     for (int number = 0; number < 240; ++number) {
--- a/test/core/prefix/heat_test.cpp
+++ b/test/core/prefix/heat_test.cpp
@@ -1,4 +1,4 @@
-/// The heavy-hitter sketch: what it promises about rates.
+/// Guarantees of the heavy-hitter sketch about rates.
 #include "ferryroad/core/prefix/heat.hpp"
 
 #include <criterion/criterion.h>
--- a/test/core/prefix/prefix_index_test.cpp
+++ b/test/core/prefix/prefix_index_test.cpp
@@ -1,4 +1,4 @@
-/// The learned index against a naive model, and what voids its entries.
+/// Learned index: what invalidates its entries, and comparison with a naive model.
 #include "ferryroad/core/prefix/prefix_index.hpp"
 
 #include <criterion/criterion.h>
@@ -42,8 +42,8 @@
     return base::monotonic_time(since_start);
 }
 
-/// Pieces believed to be on engine "a" after `arrange` has run on an index that holds three
-/// pieces there since second 0.
+/// Number of pieces assumed to be cached by engine "a" after `arrange` was applied to an index with
+/// three pieces there since second 0.
 struct row {
     const char* name;
     evidence why;
@@ -160,7 +160,7 @@
 
 namespace {
 
-/// The same rules written as plainly as possible, without bounds.
+/// Reference implementation without limits on memory.
 struct naive_model {
     struct fact {
         base::monotonic_time seen_at;
@@ -175,7 +175,7 @@
         known = std::max(known, process.incarnation);
         return known == process.incarnation;
     }
-    bool believed(const fact& each, base::monotonic_time now) const {
+    bool is_valid(const fact& each, base::monotonic_time now) const {
         return now - each.seen_at <= lifetime && (each.answered || !each.event_lost_since);
     }
     void record(const cache_namespace& scope, const piece_chain& pieces,
@@ -185,7 +185,7 @@
         }
         for (const auto piece : pieces) {
             fact& each = facts[{scope, {process, piece}}];
-            const bool answered_before = each.answered && believed(each, now);
+            const bool answered_before = each.answered && is_valid(each, now);
             each = {now, answered_before || why == evidence::answer, false};
         }
     }
@@ -202,7 +202,7 @@
         std::uint32_t depth = 0;
         while (depth < pieces.size()) {
             const auto found = facts.find({scope, {process, pieces[depth]}});
-            if (found == facts.end() || !believed(found->second, now)) {
+            if (found == facts.end() || !is_valid(found->second, now)) {
                 break;
             }
             ++depth;
@@ -226,7 +226,7 @@
             const auto& scope = scopes[*rc::gen::inRange<std::size_t>(0, scopes.size())];
             const auto process = process_of(engines[*rc::gen::inRange<std::size_t>(0, 3)],
                                             *rc::gen::inRange<std::uint64_t>(1, 4));
-            // Two families of prompts that share hashes between namespaces on purpose.
+            // Two families of prompts, with the same hashes in all namespaces on purpose.
             const auto first = *rc::gen::element<std::uint64_t>(100, 200);
             const auto pieces = chain_of(*rc::gen::inRange<std::size_t>(1, 6), first);
             switch (*rc::gen::inRange(0, 8)) {
--- a/test/core/prefix/shared_index_test.cpp
+++ b/test/core/prefix/shared_index_test.cpp
@@ -1,4 +1,4 @@
-/// The pure parts of the shared index: who owns a root, what is told to it, what it answers.
+/// Shared index without its network code: ownership of roots, reports to owners, and answers.
 #include "ferryroad/core/prefix/ownership.hpp"
 #include "ferryroad/core/prefix/prefix_owner.hpp"
 #include "ferryroad/core/prefix/report_outbox.hpp"
@@ -39,7 +39,8 @@
     return {scope, chain_of(pieces), engine_a, change, why};
 }
 
-/// Delivers all that waits. @return pieces delivered.
+/// Delivers all queued reports.
+/// @return the number of pieces delivered.
 std::size_t deliver(report_outbox& outbox, prefix_owner& owner, base::monotonic_time now) {
     std::size_t pieces = 0;
     for (const report_batch& batch : outbox.take()) {
@@ -77,8 +78,8 @@
         RC_ASSERT(others[owners_of(root, others)->owner] == standby);
         routers.emplace_back("new");
         const auto after = *owners_of(root, routers);
-        const bool kept = routers[after.owner] == owner;
-        RC_ASSERT(kept ||
+        const bool unchanged = routers[after.owner] == owner;
+        RC_ASSERT(unchanged ||
                   (routers[after.owner].value == "new" && routers[*after.standby] == owner));
     }));
 }
@@ -105,7 +106,7 @@
     cr_assert_float_eq(answer.request_rate, 4.0, 0.3);
 }
 
-Test(prefix_owner, tells_of_dispatches_by_others_for_a_moment) {
+Test(prefix_owner, returns_recent_dispatches_of_other_routers) {
     prefix_owner owner;
     prefix_report report = report_of(3, evidence::dispatch);
     report.prefill_tokens = 3000;
@@ -120,18 +121,18 @@
     cr_assert(owner.lookup(scope, chain_of(3), asking_router, at(3s)).dispatches.empty());
 }
 
-Test(recent_dispatches, are_bounded_and_the_newest_are_told) {
-    recent_dispatches dispatches({.window = 1s, .kept = 3, .told = 2});
+Test(recent_dispatches, are_bounded_and_the_newest_are_returned) {
+    recent_dispatches dispatches({.window = 1s, .max_stored = 3, .max_returned = 2});
     for (std::uint32_t tokens = 1; tokens <= 5; ++tokens) {
         dispatches.record(engine_a, tokens, base::router_name("other"), at(0s));
     }
-    const auto told = dispatches.by_others(asking_router, at(0s));
-    cr_assert_eq(told.size(), 2);
-    cr_assert_eq(told[0].prefill_tokens, 5);
-    cr_assert_eq(told[1].prefill_tokens, 4);
+    const auto returned = dispatches.by_others(asking_router, at(0s));
+    cr_assert_eq(returned.size(), 2);
+    cr_assert_eq(returned[0].prefill_tokens, 5);
+    cr_assert_eq(returned[1].prefill_tokens, 4);
 }
 
-Test(report_outbox, tells_each_owner_once_and_folds_repeats) {
+Test(report_outbox, reports_to_each_owner_and_removes_repeats) {
     report_outbox outbox;
     const std::vector<base::router_name> owners{base::router_name("o"), base::router_name("s")};
     outbox.add(owners, report_of(3, evidence::dispatch), at(0s));
@@ -142,16 +143,16 @@
     cr_assert_eq(batches[0].reports.size(), 2);
     cr_assert_eq(batches[0].reports[1].pieces.size(), 1);
     cr_assert(outbox.empty());
-    cr_assert_eq(outbox.counters().pieces_folded, 6);
-    // An answer confirms again after its interval, a dispatch not yet.
+    cr_assert_eq(outbox.counters().pieces_deduplicated, 6);
+    // The interval of answers has passed, that of dispatches has not.
     outbox.add(owners, report_of(3, evidence::dispatch), at(6s));
     cr_assert(outbox.empty());
     outbox.add(owners, report_of(3, evidence::answer), at(6s));
     cr_assert_eq(outbox.take().front().reports.front().pieces.size(), 3);
 }
 
-Test(report_outbox, waiting_reports_are_bounded) {
-    report_outbox outbox({.waiting_per_owner = 2});
+Test(report_outbox, queued_reports_are_bounded) {
+    report_outbox outbox({.max_queued_per_owner = 2});
     for (std::uint64_t piece = 0; piece < 5; ++piece) {
         prefix_report report = report_of(1, evidence::dispatch);
         report.pieces = {base::piece_hash(piece)};
@@ -161,7 +162,7 @@
     cr_assert_eq(outbox.counters().reports_dropped, 3);
 }
 
-Test(report_outbox, an_eviction_makes_the_next_dispatch_news) {
+Test(report_outbox, a_dispatch_after_an_eviction_is_reported) {
     report_outbox outbox;
     prefix_owner owner;
     outbox.add(one_owner, report_of(3, evidence::dispatch), at(0s));
@@ -175,24 +176,24 @@
     cr_assert_eq(depth_at(owner, at(2s)), 3);
 }
 
-Test(report_outbox, what_an_owner_does_not_know_is_told_again) {
+Test(report_outbox, pieces_unknown_to_the_owner_are_reported_again) {
     report_outbox outbox;
     prefix_owner owner;
     outbox.add(one_owner, report_of(3, evidence::dispatch), at(0s));
-    outbox.take();  // Lost without a trace, or the owner restarted empty.
+    outbox.take();  // The batch is lost unnoticed, or the owner has restarted.
     const auto answer = owner.lookup(scope, chain_of(3), asking_router, at(1s));
     outbox.reconcile(scope, chain_of(3), answer.holders, at(1s));
     outbox.add(one_owner, report_of(3, evidence::dispatch), at(1s));
     cr_assert_eq(deliver(outbox, owner, at(1s)), 3);
 }
 
-Test(report_outbox, an_owner_that_gets_every_batch_or_hears_of_the_loss_misses_nothing) {
+Test(report_outbox, no_piece_is_missing_if_lost_batches_are_recorded) {
     cr_assert(rc::check("owner's view equals that of one told everything", [] {
         report_outbox outbox;
-        // Lifetimes beyond the run: only folding could lose something.
+        // Nothing expires during the test, so that only deduplication could lose pieces.
         const prefix_index_settings settings{.lifetime = 1h};
         prefix_owner owner(settings);
-        prefix_owner told_everything(settings);
+        prefix_owner complete_owner(settings);
         base::monotonic_time now = at(0s);
         const auto steps = *rc::gen::inRange(1, 60);
         for (int step = 0; step < steps; ++step) {
@@ -207,11 +208,11 @@
                 report.pieces = {report.pieces.back()};
             }
             outbox.add(one_owner, report, now);
-            told_everything.record(report, asking_router, now);
+            complete_owner.record(report, asking_router, now);
             for (const report_batch& batch : outbox.take()) {
                 if (*rc::gen::inRange(0, 4) == 0) {
                     outbox.record_lost(batch);
-                    // The same is observed again sooner or later.
+                    // The same change is observed again later.
                     outbox.add(one_owner, report, now);
                     continue;
                 }
@@ -220,7 +221,7 @@
                 }
             }
             deliver(outbox, owner, now);
-            const auto expected = told_everything.lookup(scope, chain_of(8), asking_router, now);
+            const auto expected = complete_owner.lookup(scope, chain_of(8), asking_router, now);
             const auto found = owner.lookup(scope, chain_of(8), asking_router, now);
             RC_ASSERT(found.holders.size() == expected.holders.size());
             for (std::size_t holder = 0; holder < expected.holders.size(); ++holder) {
--- a/test/core/quarantine/crash_suspects_test.cpp
+++ b/test/core/quarantine/crash_suspects_test.cpp
@@ -76,7 +76,7 @@
     cr_assert_null(suspects.find(request(1), start + 20s));
     for (int number = 0; number < 4; ++number) {
         const auto at = start + 30s + number * 2s;
-        cr_assert_null(suspects.find(request(1), at), "silent requests were in progress");
+        cr_assert_null(suspects.find(request(1), at), "a silent request had run with it each time");
         suspects.record_crash(crash("b" + std::to_string(number), at, {}, {1}), at);
     }
     cr_assert_not_null(suspects.find(request(1), start + 40s));
@@ -148,7 +148,7 @@
     suspects.record_crash(crash("a", start, {1}), start);
     suspects.record_crash(crash("b", start + 2s, {1}), start + 2s);
     cr_assert_not_null(suspects.find(request(1), start + 3s));
-    cr_assert_null(suspects.find(request(1), start + 11min), "the quarantine has expired");
+    cr_assert_null(suspects.find(request(1), start + 11min), "what was wrong may have been fixed");
     suspects.record_crash(crash("c", start + 12min, {1}), start + 12min);
     cr_assert_not_null(suspects.find(request(1), start + 12min + 1s), "one is enough now");
     cr_assert_not_null(suspects.find(request(1), start + 31min));
--- a/test/core/routing/import_limiter_test.cpp
+++ b/test/core/routing/import_limiter_test.cpp
@@ -1,4 +1,4 @@
-/// Moves of warm state: single flight and caps.
+/// Imports of cached state: no duplicates, and limits on their number.
 #include "ferryroad/core/routing/import_limiter.hpp"
 
 #include <criterion/criterion.h>
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-Test(import_limiter, the_same_move_is_not_begun_twice) {
+Test(import_limiter, a_move_in_progress_is_not_started_again) {
     import_limiter limiter;
     const base::monotonic_time now{};
     cr_assert(limiter.begin(move_of(1, "a", "b"), now));
@@ -32,7 +32,7 @@
     cr_assert(limiter.begin(move_of(1, "a", "b"), now));
 }
 
-Test(import_limiter, an_unreported_end_frees_the_place_in_time) {
+Test(import_limiter, a_move_without_a_reported_end_expires) {
     import_limiter limiter({.at_once = 1, .longest = 2s});
     const base::monotonic_time now{};
     cr_assert(limiter.begin(move_of(1, "a", "b"), now));
@@ -40,7 +40,7 @@
     cr_assert(limiter.begin(move_of(2, "a", "c"), now + 2s));
 }
 
-Test(import_limiter, caps_hold_at_any_time) {
+Test(import_limiter, the_limits_hold_at_any_time) {
     cr_assert(rc::check("at once, per source, per target; one of a kind", [] {
         const import_limits limits{.at_once = *rc::gen::inRange<std::size_t>(1, 6),
                                    .per_engine = *rc::gen::inRange<std::size_t>(1, 4),
--- a/test/core/routing/policy_test.cpp
+++ b/test/core/routing/policy_test.cpp
@@ -1,4 +1,4 @@
-/// What each policy chooses, and what none may do.
+/// Choices of each policy, and properties that all policies have in common.
 #include "ferryroad/core/routing/policy.hpp"
 
 #include "ferryroad/core/routing/estimate.hpp"
@@ -18,8 +18,8 @@
 using namespace std::chrono_literals;
 
 constexpr std::uint32_t piece_tokens = 1000;
-/// One piece's prefill takes 100 ms.
-constexpr double prefill_rate_of_tests = 10000;
+/// At this rate the prefill of one piece takes 100 ms.
+constexpr double test_prefill_rate = 10000;
 
 struct engine_row {
     const char* name;
@@ -27,7 +27,7 @@
     std::uint32_t cached_pieces;
 };
 
-/// Ten pieces to prefill; `a` to `c` in this order unless the row says otherwise.
+/// Expected decision for a prompt of ten pieces and the engines `a` to `c`.
 struct row {
     const char* about;
     const char* policy;
@@ -126,12 +126,8 @@
 }
 
 candidate engine_of(const std::string& name, base::duration queue_wait, std::uint32_t cached) {
-    return {base::engine_name(name),
-            base::incarnation(1),
-            queue_wait,
-            prefill_rate_of_tests,
-            0,
-            cached};
+    return {
+        base::engine_name(name), base::incarnation(1), queue_wait, test_prefill_rate, 0, cached};
 }
 
 routing_query query_of(std::size_t pieces, std::uint64_t first) {
@@ -198,7 +194,7 @@
     cr_assert_str_eq(taken.c_str(), "abcabc");
 }
 
-Test(policy, bounded_rendezvous_leaves_an_overloaded_engine) {
+Test(policy, bounded_rendezvous_skips_an_overloaded_engine) {
     base::seeded_random random(1);
     routing_query query = query_of(3, 1);
     query.candidates = {engine_of("a", 0s, 0), engine_of("b", 0s, 0), engine_of("c", 0s, 0)};
@@ -222,7 +218,7 @@
     cr_assert_str_eq(name_of(query, *policy->choose(query, random)).c_str(), "b");
 }
 
-Test(policy, all_engines_are_weighed_before_a_deadline_is_given_up) {
+Test(policy, all_engines_are_evaluated_if_no_selected_one_meets_the_deadline) {
     base::seeded_random random(1);
     routing_query query = query_of(1, 42);
     query.time_left = 1s;
@@ -238,7 +234,7 @@
 
 Test(policy, queue_wait_is_corrected_by_age_and_later_dispatches) {
     reported_load load{.queued_prefill_tokens = 20000,
-                       .prefill_tokens_per_second = prefill_rate_of_tests,
+                       .prefill_tokens_per_second = test_prefill_rate,
                        .age = 500ms,
                        .prefill_tokens_since = 5000};
     cr_assert(estimate_queue_wait(load) == 2s);
