--- a/src/ferryroad/core/placement/begin_forecast.cpp
+++ b/src/ferryroad/core/placement/begin_forecast.cpp
@@ -9,9 +9,9 @@
 
 void adaptive_bound::record(double ratio, const forecast_tunables& tunables) {
     // The steps up and down cancel out if the target share of the values is below the bound.
-    const double rise_step = 1 + tunables.rise_step;
-    const double fall = std::pow(rise_step, (1 - tunables.target_share) / tunables.target_share);
-    const double next = ratio > m_value ? m_value * rise_step : m_value / fall;
+    const double rise = 1 + tunables.rise_step;
+    const double fall = std::pow(rise, (1 - tunables.target_share) / tunables.target_share);
+    const double next = ratio > m_value ? m_value * rise : m_value / fall;
     m_value = std::clamp(next, tunables.min_factor, tunables.max_factor);
 }
 
--- a/src/ferryroad/core/placement/engine_draw.cpp
+++ b/src/ferryroad/core/placement/engine_draw.cpp
@@ -27,10 +27,10 @@
     engines connected;
     engines near;
     engines far;
-    engines unsound;
+    engines unhealthy;
     for (const drawable_engine& one : from) {
-        if (!one.sound) {
-            unsound.push_back(one);
+        if (!one.healthy) {
+            unhealthy.push_back(one);
         } else if (one.far) {
             far.push_back(one);
         } else {
@@ -43,7 +43,7 @@
     near.insert(near.end(), connected.begin(), connected.end());
     move_highest(near, limits.engines - drawn.size(), drawn);
     move_highest(far, limits.engines - drawn.size(), drawn);
-    move_highest(unsound, limits.engines - drawn.size(), drawn);
+    move_highest(unhealthy, limits.engines - drawn.size(), drawn);
     return drawn;
 }
 
--- a/src/ferryroad/core/placement/engine_draw.hpp
+++ b/src/ferryroad/core/placement/engine_draw.hpp
@@ -14,7 +14,7 @@
 struct drawable_engine {
     std::size_t index = 0;    ///< Index in the caller's list.
     std::uint64_t score = 0;  ///< Hash of the request id and the engine; the highest are drawn.
-    bool sound = true;        ///< Unhealthy engines are drawn only if too few others are left.
+    bool healthy = true;      ///< Unhealthy engines are drawn only if too few others are left.
     bool connected = false;   ///< The router has an open connection to it.
     bool far = false;         ///< It is in another region.
 
--- a/src/ferryroad/core/placement/placement.hpp
+++ b/src/ferryroad/core/placement/placement.hpp
@@ -42,7 +42,7 @@
     std::uint64_t shared_tokens = 0;  ///< Tokens of the prompt's shared parts.
     std::vector<engine_candidate> candidates;
     base::duration target_gap{};  ///< Target for the gaps of a stream; 0 if there is none.
-    double gap_pressure = 1;      ///< See `gap_pressure::level`.
+    double gap_pressure = 1;      ///< Frequency of long gaps in the pool's streams, from 0 to 1.
     /// Estimated load of an engine as a multiple of the known load, since routers that don't report
     /// use it, too.
     double unseen_load = 1;
--- a/src/ferryroad/core/routing/import_limiter.cpp
+++ b/src/ferryroad/core/routing/import_limiter.cpp
@@ -25,7 +25,7 @@
         ++counters_.over_limit;
         return false;
     }
-    ++counters_.begun;
+    ++counters_.started;
     moves_.push_back({move, now});
     return true;
 }
@@ -34,14 +34,14 @@
     std::erase_if(moves_, [&move](const active_move& each) { return same(each.move, move); });
 }
 
-std::size_t import_limiter::under_way(base::monotonic_time now) {
+std::size_t import_limiter::in_progress(base::monotonic_time now) {
     drop_expired(now);
     return moves_.size();
 }
 
 void import_limiter::drop_expired(base::monotonic_time now) {
     std::erase_if(moves_, [this, now](const active_move& each) {
-        return now - each.started_at >= limits_.longest;
+        return now - each.started_at >= limits_.max_duration;
     });
 }
 
@@ -52,7 +52,7 @@
     const auto of_target =
         std::count_if(moves_.begin(), moves_.end(),
                       [&move](const active_move& each) { return each.move.target == move.target; });
-    const auto most = static_cast<std::ptrdiff_t>(limits_.per_engine);
+    const auto most = static_cast<std::ptrdiff_t>(limits_.max_per_engine);
     return moves_.size() >= limits_.at_once || of_source >= most || of_target >= most;
 }
 
--- a/src/ferryroad/core/routing/import_limiter.hpp
+++ b/src/ferryroad/core/routing/import_limiter.hpp
@@ -12,10 +12,10 @@
 namespace ferryroad::core::routing {
 
 struct import_limits {
-    std::size_t at_once = 8;     ///< Maximum number of concurrent moves started by this router.
-    std::size_t per_engine = 2;  ///< Maximum number per target and per source.
+    std::size_t at_once = 8;         ///< Maximum number of concurrent moves started by this router.
+    std::size_t max_per_engine = 2;  ///< Maximum number per target and per source.
     /// Time after which a move counts as ended if its end was not reported.
-    base::duration longest = std::chrono::seconds(5);
+    base::duration max_duration = std::chrono::seconds(5);
 };
 
 /// Import of the pieces up to `deepest` from one engine into another.
@@ -26,7 +26,7 @@
 };
 
 struct import_counters {
-    std::uint64_t begun = 0;
+    std::uint64_t started = 0;
     std::uint64_t same_in_flight = 0;  ///< Not started, because the same move was in progress.
     std::uint64_t over_limit = 0;      ///< Not started, because a limit was reached.
 };
@@ -39,13 +39,13 @@
 
     /// Starts a move if the limits allow it.
     /// @return whether the move may start. It then counts until `finish`, or until
-    /// `import_limits::longest` has passed.
+    /// `import_limits::max_duration` has passed.
     bool begin(const import_move& move, base::monotonic_time now);
     /// Records that a move has succeeded or failed. Unknown moves are ignored.
     void finish(const import_move& move);
 
     /// @return the number of moves in progress.
-    std::size_t under_way(base::monotonic_time now);
+    std::size_t in_progress(base::monotonic_time now);
     const import_counters& counters() const { return counters_; }
 
   private:
--- a/test/core/placement/engine_draw_test.cpp
+++ b/test/core/placement/engine_draw_test.cpp
@@ -51,12 +51,12 @@
 Test(engine_draw, unhealthy_engines_are_drawn_only_if_too_few_others_are_left) {
     auto all = numbered(40);
     for (std::size_t index = 10; index < 40; ++index) {
-        all[index].sound = false;
+        all[index].healthy = false;
         all[index].score += 10000;
     }
     const auto drawn = draw_engines(all, {});
     cr_assert_eq(drawn.size(), 16);
-    cr_assert_eq(count_drawn(drawn, all, &drawable_engine::sound), 10);
+    cr_assert_eq(count_drawn(drawn, all, &drawable_engine::healthy), 10);
 }
 
 Test(engine_draw, other_regions_have_a_small_share_if_the_own_region_has_enough_engines) {
@@ -72,12 +72,12 @@
     auto all = numbered(60);
     for (std::size_t index = 0; index < 60; ++index) {
         all[index].far = index >= 20;
-        all[index].sound = index >= 18;
+        all[index].healthy = index >= 18;
     }
     const auto drawn = draw_engines(all, {});
     cr_assert_eq(drawn.size(), 16);
     cr_assert_eq(count_drawn(drawn, all, &drawable_engine::far), 14);
-    cr_assert_eq(count_drawn(drawn, all, &drawable_engine::sound), 16);
+    cr_assert_eq(count_drawn(drawn, all, &drawable_engine::healthy), 16);
 }
 
 Test(engine_draw, at_most_half_are_drawn_because_of_an_open_connection) {
--- a/test/core/routing/import_limiter_test.cpp
+++ b/test/core/routing/import_limiter_test.cpp
@@ -33,7 +33,7 @@
 }
 
 Test(import_limiter, a_move_without_a_reported_end_expires) {
-    import_limiter limiter({.at_once = 1, .longest = 2s});
+    import_limiter limiter({.at_once = 1, .max_duration = 2s});
     const base::monotonic_time now{};
     cr_assert(limiter.begin(move_of(1, "a", "b"), now));
     cr_assert(!limiter.begin(move_of(2, "a", "c"), now + 1s));
@@ -43,19 +43,19 @@
 Test(import_limiter, the_limits_hold_at_any_time) {
     cr_assert(rc::check("at once, per source, per target; one of a kind", [] {
         const import_limits limits{.at_once = *rc::gen::inRange<std::size_t>(1, 6),
-                                   .per_engine = *rc::gen::inRange<std::size_t>(1, 4),
-                                   .longest = 3s};
+                                   .max_per_engine = *rc::gen::inRange<std::size_t>(1, 4),
+                                   .max_duration = 3s};
         import_limiter limiter(limits);
-        struct begun {
+        struct started {
             import_move move;
             base::monotonic_time ends_at;
         };
-        std::vector<begun> model;
+        std::vector<started> model;
         base::monotonic_time now{};
         const auto steps = *rc::gen::inRange(1, 80);
         for (int step = 0; step < steps; ++step) {
             now += std::chrono::milliseconds(*rc::gen::inRange(0, 900));
-            std::erase_if(model, [now](const begun& each) { return now >= each.ends_at; });
+            std::erase_if(model, [now](const started& each) { return now >= each.ends_at; });
             if (!model.empty() && *rc::gen::inRange(0, 3) == 0) {
                 limiter.finish(model.front().move);
                 model.erase(model.begin());
@@ -64,21 +64,21 @@
                                           *rc::gen::element<std::string>("a", "b", "c"),
                                           *rc::gen::element<std::string>("d", "e", "f"));
                 if (limiter.begin(move, now)) {
-                    model.push_back({move, now + limits.longest});
+                    model.push_back({move, now + limits.max_duration});
                 }
             }
-            RC_ASSERT(limiter.under_way(now) == model.size());
+            RC_ASSERT(limiter.in_progress(now) == model.size());
             RC_ASSERT(model.size() <= limits.at_once);
             std::map<std::string, std::size_t> of_engine;
             std::map<std::pair<std::uint64_t, std::string>, int> of_kind;
-            for (const begun& each : model) {
+            for (const started& each : model) {
                 ++of_engine[each.move.source.value];
                 ++of_engine[each.move.target.value];
                 const std::pair kind(each.move.deepest.value, each.move.target.value);
                 RC_ASSERT(++of_kind[kind] == 1);
             }
             for (const auto& [engine, moves] : of_engine) {
-                RC_ASSERT(moves <= limits.per_engine);
+                RC_ASSERT(moves <= limits.max_per_engine);
             }
         }
     }));
