--- a/src/ferryroad/core/placement/begin_forecast.hpp
+++ b/src/ferryroad/core/placement/begin_forecast.hpp
@@ -1,6 +1,6 @@
 /// @file
 /// Forecast of the time until requests of a pool begin and end at its engines: upper bounds
-/// learned from earlier requests. With them, a deadline for the begin of a request is considered
+/// learned from earlier requests. With them, a deadline for the start of a request is considered
 /// when its engine is selected, instead of waiting until it has passed. A request begins with its
 /// first event.
 #pragma once
@@ -57,7 +57,7 @@
     friend bool operator==(const expected_work&, const expected_work&) = default;
 };
 
-/// How a deadline for the begin of a request is enforced at one engine.
+/// How a deadline for the start of a request is enforced at one engine.
 struct begin_limit {
     base::monotonic_time begin_by{};  ///< A request that has not begun by then is withdrawn.
     /// The complete answer is expected by `begin_by`. The engine can then be given this time as its
@@ -83,7 +83,7 @@
     /// @return the upper bound on the time from the first event of an answer to its end.
     base::duration runs_within(std::uint64_t output_tokens) const;
 
-    /// @param begin_by deadline for the begin of the request.
+    /// @param begin_by deadline for the start of the request.
     /// @return how to enforce the deadline; nothing if the request is not expected to begin in
     /// time, so that it should not be sent to the engine.
     std::optional<begin_limit> limit_for(const expected_work& work, base::monotonic_time begin_by,
