--- a/src/ferryroad/coordination/claim/backoff.hpp
+++ b/src/ferryroad/coordination/claim/backoff.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Delays that double up to a limit.
+/// Exponential backoff: delays that double up to a limit.
 #pragma once
 
 #include "ferryroad/coordination/claim/tunables.hpp"
@@ -8,16 +8,17 @@
 
 namespace ferryroad::coordination::claim {
 
+/// Starts at `tunables::first_delay` and stops growing at `tunables::longest_delay`.
 class backoff {
   public:
     explicit backoff(const tunables& limits)
         : next_(limits.first_delay), longest_(limits.longest_delay) {}
 
-    /// @return the delay before the next try.
+    /// @return the delay before the next attempt; doubles it for the attempt after that.
     base::duration next() {
-        const base::duration now = next_;
+        const base::duration current = next_;
         next_ = std::min(2 * next_, longest_);
-        return now;
+        return current;
     }
 
   private:
--- a/src/ferryroad/coordination/claim/closing.cpp
+++ b/src/ferryroad/coordination/claim/closing.cpp
@@ -74,7 +74,8 @@
     if (known_ || reads_left_ == 0) {
         return end(claim_outcome::finished);
     }
-    // An insert whose answer was lost may still arrive: look again, and then let it be.
+    // An insert whose answer was lost may still arrive, so the row is read until the reads are used
+    // up.
     return read(delays_.next());
 }
 
--- a/src/ferryroad/coordination/claim/closing.hpp
+++ b/src/ferryroad/coordination/claim/closing.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Ending a claim: its outcome is recorded, or the key is freed because nothing ran.
+/// Closes a claim: records the outcome of its attempt, or frees the key if nothing ran.
 #pragma once
 
 #include "ferryroad/coordination/claim/backoff.hpp"
@@ -14,25 +14,31 @@
 
 namespace ferryroad::coordination::claim {
 
+/// The attempt ran; its outcome is stored.
 struct close_finished {
     outcome kept;
 };
+/// The attempt may have run, and its outcome is not known.
 struct close_unknown {};
-/// Proven not run: the key may be claimed again.
+/// The attempt certainly did not run; the key may be claimed again.
 struct close_released {};
+/// How a claim is closed.
 using closing_kind = std::variant<close_finished, close_unknown, close_released>;
 
-/// State machine that writes a claim's end. Repeats until the row says so; a row that another
-/// attempt owns is left alone.
+/// State machine that writes the end of a claim. It retries until the row shows the end, and leaves
+/// a row alone that belongs to another attempt. Not thread-safe.
 class claim_closing {
   public:
-    /// @param known version of the row as granted; without it the row is read first.
+    /// @param claimed_at_ms Unix time at which the claim was made, in milliseconds.
+    /// @param known row version at which the claim was granted; if absent, the row is read first.
     claim_closing(claim_terms terms, std::int64_t claimed_at_ms, closing_kind kind,
                   std::optional<row_version> known, tunables limits = {});
 
+    /// Must be called once, before any event.
     action begin(const circumstances& at);
-    /// @return the next action; `ended` says `finished` (written, or nothing to write) or
-    /// `unavailable` (given up: the key stays closed until somebody marks it unknown).
+    /// @return the next action. `ended` carries `finished` (the end is stored, or nothing had to be
+    /// stored) or `unavailable` (the retries are used up; the key stays blocked until its claim is
+    /// marked as unknown).
     action handle(const event& happened, const circumstances& at);
 
   private:
--- a/src/ferryroad/coordination/claim/errors.hpp
+++ b/src/ferryroad/coordination/claim/errors.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Errors of reading stored claims.
+/// Errors reported when a stored claim can't be decoded.
 #pragma once
 
 #include <string>
@@ -7,10 +7,11 @@
 namespace ferryroad::coordination::claim {
 
 enum class record_error_code {
-    malformed,       ///< No record at all.
-    unknown_format,  ///< Written by another version of this library.
+    malformed,       ///< Not a claim record.
+    unknown_format,  ///< Written by an incompatible version of this library.
 };
 
+/// Error object of `decode`.
 struct record_error {
     record_error_code code{};
     std::string message;
--- a/src/ferryroad/coordination/claim/messages.hpp
+++ b/src/ferryroad/coordination/claim/messages.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What the claim state machines ask of the table, and what the table answers. All of it is
-/// about one row, the claim's.
+/// Actions that the claim state machines request and events that answer them. All of them concern a
+/// single row of the table: the row of the claim.
 #pragma once
 
 #include "ferryroad/base/strong_id.hpp"
@@ -17,40 +17,44 @@
 /// Version of the row; 0 while the row is absent.
 using row_version = base::strong_id<struct claim_row_version_tag, std::uint64_t>;
 
+/// The row as stored in the table.
 struct stored_row {
     row_version version;
-    std::string value;  ///< Empty where absent.
+    std::string value;  ///< Empty if the row is absent.
 };
 
 // Actions.
 
-/// Write the row where it is at `expected`; without a value, delete it.
+/// Writes the row if its version is still `expected`. Deletes the row if there is no value.
 struct write_row {
     row_version expected;
     std::optional<std::string> value;
-    base::duration delay{};  ///< To wait before.
+    base::duration delay{};  ///< Time to wait before the write.
 };
 
+/// Reads the row.
 struct read_row {
-    base::duration delay{};  ///< To wait before.
+    base::duration delay{};  ///< Time to wait before the read.
 };
 
+/// Result of claiming a key or of closing a claim.
 enum class claim_outcome {
     granted,        ///< This attempt, and no other, may run.
-    finished,       ///< Ran before; its outcome is kept.
-    unknown,        ///< May have run before; will not run again.
-    in_progress,    ///< Another attempt is at it.
-    other_content,  ///< The key belongs to another content.
-    unavailable     ///< The table can't say: nothing may run.
+    finished,       ///< An earlier attempt ran; its outcome is stored.
+    unknown,        ///< An earlier attempt may have run; none will run again.
+    in_progress,    ///< Another attempt holds the claim.
+    other_content,  ///< The key was used for a request with different content.
+    unavailable     ///< The table did not give an answer; nothing may run.
 };
 
-/// The machine's end.
+/// Last action of a state machine.
 struct ended {
     claim_outcome result{};
-    row_version version;  ///< Of the row, where granted.
+    row_version version;  ///< Row version, if granted.
     std::optional<outcome> kept_outcome;
     std::optional<base::duration> retry_after;
-    /// Where unavailable: a write of ours may have taken effect, or may yet. Close the claim.
+    /// If unavailable: a write of this attempt may have taken effect, or may still do so. The
+    /// embedder must close the claim.
     bool maybe_recorded = false;
 };
 
@@ -58,27 +62,30 @@
 
 // Events.
 
+/// The write took effect.
 struct write_committed {
     row_version version;
 };
 
-/// The row is not at the expected version but as given.
+/// The row did not have the expected version; nothing was written.
 struct write_conflicted {
-    stored_row row;
+    stored_row row;  ///< The current row.
 };
 
-/// No answer: the write may have taken effect, or may yet.
+/// No answer arrived; the write may have taken effect, or may still do so.
 struct write_lost {};
 
-/// The table did nothing.
+/// The table refused the write; nothing was written.
 struct write_refused {
     std::optional<base::duration> retry_after;
 };
 
+/// The read succeeded.
 struct row_read {
     stored_row row;
 };
 
+/// The read gave no row.
 struct read_failed {
     std::optional<base::duration> retry_after;
 };
--- a/src/ferryroad/coordination/claim/opening.cpp
+++ b/src/ferryroad/coordination/claim/opening.cpp
@@ -81,14 +81,14 @@
     }
     const auto found = try_decode(row.value);
     if (!found) {
-        // Another version of this library wrote it: its attempt may run.
+        // Written by an incompatible version of this library; its attempt may still run.
         return end_with(claim_outcome::in_progress);
     }
     if (found->attempt != terms_.attempt) {
         return judge_other(row, *found, at);
     }
     if (found->state != record_state::in_progress) {
-        // Somebody gave this attempt up for dead before it was granted.
+        // Another process took this attempt for dead and closed it before it was granted.
         return end_with(claim_outcome::unknown);
     }
     ended granted = end_with(claim_outcome::granted);
@@ -112,15 +112,15 @@
     if (other.state == record_state::unknown) {
         return end_with(claim_outcome::unknown);
     }
-    return judge_at_work(row, other, at);
+    return judge_in_progress(row, other, at);
 }
 
-action claim_opening::judge_at_work(const stored_row& row, const record& other,
-                                    const circumstances& at) {
+action claim_opening::judge_in_progress(const stored_row& row, const record& other,
+                                        const circumstances& at) {
     if (is_abandoned(other, at, limits_)) {
         return close_as_unknown(row, other, at);
     }
-    // Its outcome may come in a moment: a caller that repeats a key wants just that.
+    // The outcome may be available soon, and a caller that repeats a key wants that outcome.
     return read_again(polls_left_, end_with(claim_outcome::in_progress));
 }
 
--- a/src/ferryroad/coordination/claim/opening.hpp
+++ b/src/ferryroad/coordination/claim/opening.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Claiming a key: at most one attempt over all processes is ever granted it.
+/// Claims a key. At most one attempt over all processes is ever granted the claim of a key.
 #pragma once
 
 #include "ferryroad/coordination/claim/backoff.hpp"
@@ -12,31 +12,32 @@
 
 namespace ferryroad::coordination::claim {
 
-/// Who claims what.
+/// The attempt that claims and the content that it claims the key for.
 struct claim_terms {
     base::attempt_id attempt;  ///< Never used twice, by any process.
     holder owner;
     std::string content_digest;
 };
 
-/// What the embedder knows as an event comes.
+/// What the embedder knows when an event arrives.
 struct circumstances {
     std::int64_t unix_ms = 0;
-    /// Whether that process has surely ended. Borrowed for the call.
+    /// @return whether that process has certainly ended. Must stay valid during the call.
     const std::function<bool(const holder&)>& known_dead;
 };
 
-/// State machine of one claim. A conditional insert decides between attempts; after a lost
-/// answer the row is read back and shows whose attempt won. An attempt of a holder that is
-/// known dead, or that took too long, is closed as unknown and never granted again.
+/// State machine that claims one key. A conditional insert decides between attempts. If the answer
+/// to the insert is lost, the row is read back to find out which attempt won. An attempt that took
+/// too long, or whose holder is known to be dead, is closed as unknown and never granted the claim
+/// again. Not thread-safe.
 class claim_opening {
   public:
     claim_opening(claim_terms terms, tunables limits = {});
 
-    /// Called once, first.
+    /// Must be called once, before any event.
     action begin(const circumstances& at);
-    /// Events answer the last action, one each. @return the next action; after `ended` the
-    /// machine takes no more events.
+    /// Handles the event that answers the last action; each action gets one event.
+    /// @return the next action. No more events may follow `ended`.
     action handle(const event& happened, const circumstances& at);
 
   private:
@@ -51,7 +52,7 @@
 
     action judge(const stored_row& row, const circumstances& at);
     action judge_other(const stored_row& row, const record& other, const circumstances& at);
-    action judge_at_work(const stored_row& row, const record& other, const circumstances& at);
+    action judge_in_progress(const stored_row& row, const record& other, const circumstances& at);
     action insert(row_version expected, const circumstances& at);
     action close_as_unknown(const stored_row& row, record other, const circumstances& at);
     action read_again(std::uint32_t& left, ended otherwise);
@@ -67,10 +68,10 @@
     backoff delays_;
 };
 
-/// @return whether an ended claim has been kept long enough.
+/// @return whether a closed claim has been stored for longer than the retention period.
 bool is_expired(const record& claimed, std::int64_t unix_ms, const tunables& limits);
 
-/// @return whether a claim at work will surely never be ended by its holder.
+/// @return whether the holder of a claim in progress will certainly never close it.
 bool is_abandoned(const record& claimed, const circumstances& at, const tunables& limits);
 
 }  // namespace ferryroad::coordination::claim
--- a/src/ferryroad/coordination/claim/record.cpp
+++ b/src/ferryroad/coordination/claim/record.cpp
@@ -47,7 +47,7 @@
     return leaf::new_error(record_error{record_error_code::malformed, std::move(message)});
 }
 
-/// Reads fields of one object; a missing or misnamed one is an error.
+/// Reads the fields of one JSON object; a field that is missing or has the wrong type is an error.
 class field_reader {
   public:
     explicit field_reader(const json::object& object) : object_(object) {}
--- a/src/ferryroad/coordination/claim/tunables.hpp
+++ b/src/ferryroad/coordination/claim/tunables.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Limits of claims, in one place.
+/// Time and retry limits of claims.
 #pragma once
 
 #include "ferryroad/base/time.hpp"
@@ -8,18 +8,23 @@
 
 namespace ferryroad::coordination::claim {
 
+/// Limits of one claim.
 struct tunables {
-    /// How long an ended claim is kept: within it a repeated key gets its outcome.
+    /// How long a closed claim is stored. During this time a repeated key gets the stored outcome.
     base::duration retention = std::chrono::hours(24);
-    /// A claim at work for longer belongs to a holder that will never end it. Must exceed the
-    /// longest deadline of a request plus the difference between the processes' calendars.
+    /// A claim in progress for longer than this is abandoned: its holder will never close it. Must
+    /// exceed the longest request deadline plus the largest difference between the wall clocks of
+    /// the processes.
     base::duration longest_work = std::chrono::minutes(15);
-    std::uint32_t writes = 6;  ///< Conditional writes tried for one claim or its end.
-    std::uint32_t reads = 6;   ///< Reads tried likewise.
-    /// Looks at another's claim at work before it is reported as such.
+    std::uint32_t writes =
+        6;  ///< Maximum number of conditional writes to make or to close one claim.
+    std::uint32_t reads = 6;  ///< Maximum number of reads to make or to close one claim.
+    /// Number of times the row is polled for the outcome of another attempt in progress before
+    /// `in_progress` is reported.
     std::uint32_t polls = 5;
-    base::duration first_delay = std::chrono::milliseconds(50);  ///< Doubles with each retry.
-    base::duration longest_delay = std::chrono::seconds(2);
+    base::duration first_delay =
+        std::chrono::milliseconds(50);  ///< Delay before the first retry; doubles with each retry.
+    base::duration longest_delay = std::chrono::seconds(2);  ///< Upper limit of that delay.
 };
 
 }  // namespace ferryroad::coordination::claim
--- a/test/coordination/claim/claim_property_test.cpp
+++ b/test/coordination/claim/claim_property_test.cpp
@@ -1,4 +1,5 @@
-/// Several attempts at one key over a table that loses, delays and refuses: at most one runs.
+/// Property test of claims: several attempts compete for one key through a table that loses, delays
+/// and refuses writes. At most one attempt may run.
 #include "ferryroad/coordination/claim/closing.hpp"
 #include "ferryroad/coordination/claim/opening.hpp"
 
@@ -15,7 +16,7 @@
 
 namespace {
 
-/// The row, and writes that are still on their way to it.
+/// The row of the claim, and writes that were delayed and haven't reached it yet.
 class table {
   public:
     stored_row row;
@@ -28,40 +29,41 @@
         row = write.value ? stored_row{version, *write.value} : stored_row{};
         return write_committed{version};
     }
-    void delay(const write_row& write) { late_.push_back(write); }
-    void apply_late(std::size_t index) {
-        if (!late_.empty()) {
-            const auto chosen = late_.begin() + static_cast<std::ptrdiff_t>(index % late_.size());
+    void delay(const write_row& write) { delayed_.push_back(write); }
+    void apply_delayed(std::size_t index) {
+        if (!delayed_.empty()) {
+            const auto chosen =
+                delayed_.begin() + static_cast<std::ptrdiff_t>(index % delayed_.size());
             apply(*chosen);
-            late_.erase(chosen);
+            delayed_.erase(chosen);
         }
     }
 
   private:
     std::uint64_t counter_ = 0;
-    std::vector<write_row> late_;
+    std::vector<write_row> delayed_;
 };
 
-enum class fate { answered, lost_after, lost_before, delayed, refused };
+enum class write_result { answered, lost_after, lost_before, delayed, refused };
 
 struct step {
     std::size_t actor = 0;
-    fate given = fate::answered;
-    int choice = 0;  ///< 0: late write arrives; 1: the actor is declared dead; 2: it crashes.
+    write_result given = write_result::answered;
+    int choice = 0;  ///< 0: a delayed write arrives; 1: the actor is declared dead; 2: it crashes.
 };
 
 rc::Gen<step> any_step() {
-    return rc::gen::build<step>(
-        rc::gen::set(&step::actor, rc::gen::inRange<std::size_t>(0, 4)),
-        rc::gen::set(&step::given, rc::gen::weightedElement<fate>({{8, fate::answered},
-                                                                   {2, fate::lost_after},
-                                                                   {1, fate::lost_before},
-                                                                   {2, fate::delayed},
-                                                                   {1, fate::refused}})),
-        rc::gen::set(&step::choice, rc::gen::inRange(0, 24)));
+    return rc::gen::build<step>(rc::gen::set(&step::actor, rc::gen::inRange<std::size_t>(0, 4)),
+                                rc::gen::set(&step::given, rc::gen::weightedElement<write_result>(
+                                                               {{8, write_result::answered},
+                                                                {2, write_result::lost_after},
+                                                                {1, write_result::lost_before},
+                                                                {2, write_result::delayed},
+                                                                {1, write_result::refused}})),
+                                rc::gen::set(&step::choice, rc::gen::inRange(0, 24)));
 }
 
-/// One attempt: claims, then runs or gives back, then closes.
+/// One attempt: claims the key, runs the request or decides not to, and closes the claim.
 class actor {
   public:
     actor(std::size_t index, bool will_run)
@@ -71,7 +73,7 @@
           opening_(terms_),
           will_run_(will_run) {}
 
-    void act(table& on, fate given, const circumstances& at) {
+    void act(table& on, write_result given, const circumstances& at) {
         if (!next_) {
             next_ = opening_.begin(at);
         } else if (!std::holds_alternative<ended>(*next_)) {
@@ -87,24 +89,25 @@
     const holder& owner() const { return terms_.owner; }
 
   private:
-    event answer_of(table& on, fate given) const {
+    event answer_of(table& on, write_result given) const {
         if (std::holds_alternative<read_row>(*next_)) {
-            const bool failed = given == fate::refused || given == fate::lost_before;
+            const bool failed =
+                given == write_result::refused || given == write_result::lost_before;
             return failed ? event(read_failed{}) : event(row_read{on.row});
         }
         const auto& write = std::get<write_row>(*next_);
         switch (given) {
-            case fate::answered:
+            case write_result::answered:
                 return on.apply(write);
-            case fate::lost_after:
+            case write_result::lost_after:
                 on.apply(write);
                 return write_lost{};
-            case fate::delayed:
+            case write_result::delayed:
                 on.delay(write);
                 return write_lost{};
-            case fate::lost_before:
+            case write_result::lost_before:
                 return write_lost{};
-            case fate::refused:
+            case write_result::refused:
                 break;
         }
         return write_refused{};
@@ -147,9 +150,9 @@
         actor& chosen = actors[drawn.actor % actors.size()];
         const std::string name = chosen.owner().name.value;
         if (drawn.choice == 0) {
-            rows.apply_late(drawn.actor);
+            rows.apply_delayed(drawn.actor);
         } else if (drawn.choice == 1) {
-            dead[name] = true;  // Rightly or wrongly: it may go on.
+            dead[name] = true;  // The declaration may be wrong: the actor may continue.
         } else if (drawn.choice == 2) {
             crashed[name] = true;
         }
--- a/test/coordination/claim/claim_test.cpp
+++ b/test/coordination/claim/claim_test.cpp
@@ -1,4 +1,4 @@
-/// What a claim's row says to who finds it, case by case.
+/// What an attempt does on finding the row of another claim or its own, for each state of the row.
 #include "ferryroad/coordination/claim/closing.hpp"
 #include "ferryroad/coordination/claim/opening.hpp"
 
@@ -40,9 +40,9 @@
 struct row {
     const char* name;
     record stored;
-    bool dead;                             ///< Its holder, surely.
-    bool writes;                           ///< Then writes the row, else ends or reads again.
-    std::optional<claim_outcome> outcome;  ///< Where it ends.
+    bool dead;    ///< Whether the holder is known to be dead.
+    bool writes;  ///< Whether the attempt writes the row; otherwise it ends or reads again.
+    std::optional<claim_outcome> outcome;  ///< Expected result, if it ends.
 };
 
 const std::vector<row>& rows() {
