--- a/src/ferryroad/coordination/configuration/commit.cpp
+++ b/src/ferryroad/coordination/configuration/commit.cpp
@@ -17,7 +17,7 @@
     return found->revision;
 }
 
-/// Leaves out what the content holds already.
+/// Drops the changes that `content` already contains.
 std::vector<resource_change> effective(const resources& content,
                                        std::vector<resource_change> changes) {
     std::erase_if(changes, [&](const resource_change& wanted) {
@@ -27,6 +27,7 @@
     return changes;
 }
 
+/// @return the revision `age` before `current`, or nothing if there is none.
 std::optional<base::revision> expired(base::revision current, std::uint64_t age) {
     if (current.value <= age) {
         return std::nullopt;
@@ -78,7 +79,7 @@
         return catch_up{head_.head.revision};
     }
     if (own.revision > head_.head.revision) {
-        return read_head{};  // The head that was read is old by now.
+        return read_head{};  // The head row that was read is outdated.
     }
     std::vector<resource_change> changes = effective(own.content, make_change_(own.content));
     if (changes.empty()) {
--- a/src/ferryroad/coordination/configuration/replica.cpp
+++ b/src/ferryroad/coordination/configuration/replica.cpp
@@ -48,11 +48,11 @@
         return {};
     }
     const base::revision revision = received.revision;
-    early_.emplace(revision, std::move(received));
-    std::vector<applied_change> steps = apply_early();
-    // The one furthest ahead is the cheapest to pull again.
-    while (early_.size() > limits_.early_changes) {
-        early_.erase(std::prev(early_.end()));
+    buffered_.emplace(revision, std::move(received));
+    std::vector<applied_change> steps = apply_buffered();
+    // Drop the changes that are furthest ahead: they are the cheapest to pull again.
+    while (buffered_.size() > limits_.early_changes) {
+        buffered_.erase(std::prev(buffered_.end()));
     }
     return steps;
 }
@@ -72,7 +72,7 @@
     steps_.push_back(step);
     drop_oldest(steps_, limits_.replica_changes);
     std::vector<applied_change> steps{std::move(step)};
-    std::vector<applied_change> more = apply_early();
+    std::vector<applied_change> more = apply_buffered();
     std::move(more.begin(), more.end(), std::back_inserter(steps));
     return steps;
 }
@@ -130,11 +130,11 @@
     return step;
 }
 
-std::vector<applied_change> replica::apply_early() {
-    early_.erase(early_.begin(), early_.upper_bound(held_.revision));
+std::vector<applied_change> replica::apply_buffered() {
+    buffered_.erase(buffered_.begin(), buffered_.upper_bound(held_.revision));
     std::vector<applied_change> steps;
-    while (!early_.empty() && early_.begin()->first == after(held_.revision)) {
-        auto next = early_.extract(early_.begin());
+    while (!buffered_.empty() && buffered_.begin()->first == after(held_.revision)) {
+        auto next = buffered_.extract(buffered_.begin());
         steps.push_back(apply_next(std::move(next.mapped())));
     }
     return steps;
--- a/src/ferryroad/coordination/configuration/rows.cpp
+++ b/src/ferryroad/coordination/configuration/rows.cpp
@@ -8,7 +8,8 @@
         return std::nullopt;
     }
     const std::uint64_t missing = head.revision.value - own.value;
-    // Below one interval the changes are never more than a fresh replica would read.
+    // Less than one snapshot interval behind, reading the changes never takes more rows than a new
+    // replica reads.
     const bool from_snapshot = head.snapshot > own && missing > limits.snapshot_interval;
     read_plan plan;
     if (from_snapshot) {
--- a/src/ferryroad/coordination/configuration/types.hpp
+++ b/src/ferryroad/coordination/configuration/types.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// Replicated configuration: opaque resources (a key and a text) under revisions that only
-/// rise. Revision n is revision n-1 with one change; changes travel, never the whole.
+/// Replicated configuration: opaque resources (a key and a text) with revisions that only increase.
+/// Each revision is the one before it plus one change. Replicas exchange changes, not whole
+/// configurations.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -16,13 +17,15 @@
 namespace ferryroad::coordination::configuration {
 
 using resource_key = base::strong_id<struct resource_key_tag, std::string>;
-/// Chosen by whoever asks for a change: a repeat under the same id is the same change.
+/// Chosen by the client that requests a change; a request repeated with the same id is the same
+/// change.
 using operation_id = base::strong_id<struct operation_id_tag, std::string>;
 using author_name = base::strong_id<struct author_name_tag, std::string>;
 
+/// Content of a configuration.
 using resources = std::map<resource_key, std::string>;
 
-/// Puts a resource, or removes it where there is no value.
+/// Sets a resource, or removes it if there is no value.
 struct resource_change {
     resource_key key;
     std::optional<std::string> value;
@@ -30,7 +33,7 @@
     friend bool operator==(const resource_change&, const resource_change&) = default;
 };
 
-/// What makes `revision` out of the one before it.
+/// The change that produces `revision` from the revision before it.
 struct change {
     base::revision revision;
     operation_id operation;
@@ -48,42 +51,44 @@
     friend bool operator==(const snapshot&, const snapshot&) = default;
 };
 
-/// One resource before and after.
+/// Values of one resource before and after a step.
 struct resource_difference {
     resource_key key;
-    std::optional<std::string> before;  ///< Nothing where it was added.
-    std::optional<std::string> after;   ///< Nothing where it was removed.
+    std::optional<std::string> before;  ///< Absent if the resource was added.
+    std::optional<std::string> after;   ///< Absent if the resource was removed.
 
     friend bool operator==(const resource_difference&, const resource_difference&) = default;
 };
 
-/// A step that a replica took: one change, or several at once by way of a snapshot.
+/// A step of a replica: one change, or several changes at once through a snapshot.
 struct applied_change {
     base::revision previous;
     base::revision revision;
-    operation_id operation;  ///< Empty where several changes were taken at once.
+    operation_id operation;  ///< Empty if the step covers several changes.
     author_name author;
     std::vector<resource_difference> differences;
 };
 
-/// @return what turns `before` into `after`.
+/// @return the differences that lead from `before` to `after`.
 std::vector<resource_difference> find_differences(const resources& before, const resources& after);
 
-/// @return the same as puts and removes.
+/// @return the changes that produce these differences.
 std::vector<resource_change> to_changes(const std::vector<resource_difference>& differences);
 
-/// Sizes of the log. At the design size (4,300 changes a day) a hundred changes are half an
-/// hour.
+/// Size limits of the change log. At the design load of 4,300 changes a day, a hundred changes
+/// cover about half an hour.
 struct log_limits {
-    /// A snapshot is written with each revision divisible by this.
+    /// A snapshot is written at each revision divisible by this.
     std::uint64_t snapshot_interval = 100;
-    /// Changes older than this many revisions are deleted; at least twice the interval.
+    /// Change rows and snapshot rows older than this many revisions are deleted. Must be at least
+    /// twice `snapshot_interval`.
     std::uint64_t retained_changes = 200;
-    /// Operations remembered in the head row, to know a repeat.
+    /// Number of operations listed in the head row to detect repeated requests.
     std::size_t remembered_operations = 64;
-    /// Changes that a replica keeps to answer its peers; older ones cost a snapshot.
+    /// Number of changes that a replica keeps to answer its peers; a peer that is further behind
+    /// gets a snapshot.
     std::size_t replica_changes = 256;
-    /// Changes kept that came ahead of their turn.
+    /// Number of changes buffered because they were received before their predecessors.
     std::size_t early_changes = 64;
 };
 
--- a/src/ferryroad/coordination/lease/lease_holder.cpp
+++ b/src/ferryroad/coordination/lease/lease_holder.cpp
@@ -34,7 +34,7 @@
 // ---- Actions ----
 
 action lease_holder::next(base::monotonic_time now) {
-    if (under_way_) {
+    if (in_flight_) {
         return wait_until{base::monotonic_time::max()};
     }
     if (hold_ && now >= hold_->valid_until) {
@@ -51,20 +51,20 @@
         return start_read();
     }
     if (hold_) {
-        return wanted_ ? keep(now) : release(now);
+        return wanted_ ? renew_if_due(now) : release(now);
     }
     return contend(now);
 }
 
 action lease_holder::start_read() {
-    under_way_ = true;
+    in_flight_ = true;
     return read_row{};
 }
 
 action lease_holder::start_write(lease_record record, base::monotonic_time now) {
     record.write_id = random_.next();
     record.note = note_;
-    under_way_ = true;
+    in_flight_ = true;
     const std::uint64_t replaced = row_->record ? row_->record->note : 0;
     pending_ = pending_write{record, now, replaced, end_of_seen_hold()};
     return write_row{row_->version, encode(record)};
@@ -73,7 +73,7 @@
 action lease_holder::contend(base::monotonic_time now) {
     if (malformed()) {
         must_read_ = true;
-        try_later(settings_.poll_period, now);
+        schedule_retry(settings_.poll_period, now);
         return wait_until{not_before_};
     }
     if (now >= free_at()) {
@@ -86,7 +86,7 @@
 }
 
 base::monotonic_time lease_holder::free_at() const {
-    // A hold of this very process that it doesn't count on protects nothing.
+    // A hold recorded for this process that it doesn't rely on any more protects nothing.
     const bool own = row_->record && row_->record->holder && is_own(*row_->record);
     return own ? row_->first_seen : end_of_seen_hold();
 }
@@ -108,7 +108,7 @@
     return start_write(std::move(record), now);
 }
 
-action lease_holder::keep(base::monotonic_time now) {
+action lease_holder::renew_if_due(base::monotonic_time now) {
     const bool note_due = row_->record && row_->record->note != note_;
     if (now < hold_->renew_at && !note_due) {
         return wait_until{std::min(hold_->renew_at, hold_->valid_until)};
@@ -131,7 +131,7 @@
 // ---- Events ----
 
 void lease_holder::handle(const event& happened, base::monotonic_time now) {
-    under_way_ = false;
+    in_flight_ = false;
     std::visit([&](const auto& each) { on(each, now); }, happened);
 }
 
@@ -139,38 +139,39 @@
     must_read_ = false;
     delay_ = settings_.first_delay;
     next_poll_ = now + scaled(settings_.poll_period, 0.75 + 0.5 * random_.unit());
-    see(read.row, now);
+    observe_row(read.row, now);
 }
 
 void lease_holder::on(const write_committed& committed, base::monotonic_time now) {
     delay_ = settings_.first_delay;
-    take_effect(committed.version, now);
+    on_write_effective(committed.version, now);
 }
 
 void lease_holder::on(const write_conflicted& conflicted, base::monotonic_time now) {
     delay_ = settings_.first_delay;
     next_poll_ = now + settings_.poll_period;
-    see(conflicted.row, now);
+    observe_row(conflicted.row, now);
 }
 
 void lease_holder::on(const write_lost& /*lost*/, base::monotonic_time now) {
     must_read_ = true;
-    try_later(delay_, now);
+    schedule_retry(delay_, now);
 }
 
 void lease_holder::on(const refused& refusal, base::monotonic_time now) {
-    // A refused write changed nothing; a refused read leaves open what it was to find out.
+    // A refused write changed nothing. After a refused read, the effect of a pending write is still
+    // unknown.
     if (!must_read_) {
         pending_.reset();
     }
-    try_later(std::max(delay_, refusal.retry_after.value_or(base::duration{})), now);
+    schedule_retry(std::max(delay_, refusal.retry_after.value_or(base::duration{})), now);
 }
 
-void lease_holder::see(const stored_row& row, base::monotonic_time now) {
+void lease_holder::observe_row(const stored_row& row, base::monotonic_time now) {
     const std::optional<lease_record> record = decode(row.value);
     const bool own_write = record && pending_ && record->write_id == pending_->record.write_id;
     if (own_write) {
-        take_effect(row.version, now);
+        on_write_effective(row.version, now);
         return;
     }
     pending_.reset();
@@ -182,7 +183,7 @@
     }
 }
 
-void lease_holder::take_effect(row_version version, base::monotonic_time now) {
+void lease_holder::on_write_effective(row_version version, base::monotonic_time now) {
     const pending_write written = *std::exchange(pending_, std::nullopt);
     row_ = seen_row{version, written.record, now};
     if (!written.record.holder) {
@@ -193,13 +194,13 @@
         predecessor_note_ = written.predecessor_note;
         predecessor_end_ = written.predecessor_end;
     }
-    const base::duration counted =
+    const base::duration valid_for =
         scaled(settings_.duration, 1.0 - settings_.drift_bound) - settings_.margin;
-    hold_ = hold{written.record.token, written.sent_at + counted,
+    hold_ = hold{written.record.token, written.sent_at + valid_for,
                  written.sent_at + settings_.renew_after};
 }
 
-void lease_holder::try_later(base::duration delay, base::monotonic_time now) {
+void lease_holder::schedule_retry(base::duration delay, base::monotonic_time now) {
     not_before_ = now + scaled(delay, 0.5 + random_.unit());
     delay_ = std::min(2 * delay_, settings_.poll_period);
 }
--- a/src/ferryroad/coordination/lease/lease_holder.hpp
+++ b/src/ferryroad/coordination/lease/lease_holder.hpp
@@ -1,11 +1,11 @@
 /// @file
-/// One process's side of one lease on a transactional table.
+/// One process's side of one lease stored in a transactional table.
 ///
-/// Safety rests on no clock but each process's own: a holder counts from when it sent its
-/// write and stops a margin early; a contender waits for the whole duration from when it first
-/// saw the row as it is. Both stretch by the bound on the clocks' drift. What a holder sends
-/// out carries its fencing token, for a pause can fall between its look at the clock and
-/// the act.
+/// Safety depends on no clock but each process's own. A holder counts the lease from the moment it
+/// sent its write and stops a margin before the end. A contender waits for the full duration from
+/// the moment it first saw the current version of the row. Both allow for the bound on clock drift.
+/// Requests that the holder sends carry its fencing token, because the process may be paused
+/// between checking the clock and sending.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -20,64 +20,70 @@
 
 namespace ferryroad::coordination::lease {
 
-/// Equal in all processes that contend, but for the poll period.
+/// Must be equal in all contending processes, except for the poll period.
 struct lease_settings {
-    /// From a write's sending to the lease's end.
+    /// Length of the lease, counted from the moment a write is sent.
     base::duration duration = std::chrono::seconds(10);
-    /// Two clocks may differ in rate by this share at the most.
+    /// Maximum relative difference between the rates of two clocks.
     double drift_bound = 0.01;
-    /// The holder stops this long before the end, so that a short act ends within the lease.
+    /// The holder stops acting this long before the end, so that a short operation finishes within
+    /// the lease.
     base::duration margin = std::chrono::milliseconds(500);
-    /// A third of the duration leaves time for two more tries.
+    /// Time from a write to the next renewal. A third of the duration leaves time for two more
+    /// attempts.
     base::duration renew_after = std::chrono::milliseconds(3300);
-    /// Between a contender's reads while another holds it.
+    /// Time between reads of a contender while another process holds the lease.
     base::duration poll_period = std::chrono::seconds(5);
-    /// After a refusal; doubles up to the poll period.
+    /// Delay before a retry; doubles up to the poll period.
     base::duration first_delay = std::chrono::milliseconds(200);
 };
 
-/// Not thread-safe.
+/// Acquires, renews and releases one lease. Not thread-safe.
 class lease_holder {
   public:
-    /// @param random outlives the holder.
+    /// @param random must outlive this object.
     lease_holder(lease_identity self, lease_settings settings, base::random_source& random);
 
-    /// Contends from now on, or gives the lease up.
+    /// Starts contending for the lease, or gives it up.
     void want(bool wanted) { wanted_ = wanted; }
     bool wanted() const { return wanted_; }
 
-    /// @return what to do. While a read or write is under way: nothing but to wait for it.
+    /// @return the next action. While a read or write is in flight, this is only to wait for its
+    /// answer.
     action next(base::monotonic_time now);
-    /// The answer to the last read or write.
+    /// Handles the answer to the last read or write.
     void handle(const event& happened, base::monotonic_time now);
 
-    /// To be asked right before each act. @return the token that the act must carry, or
-    /// nothing where this process may not act.
+    /// Must be called right before each operation that requires the lease.
+    /// @return the fencing token that the operation must carry, or nothing if this process may not
+    /// act.
     std::optional<base::fencing_token> token(base::monotonic_time now) const;
 
-    /// What the row is to say to the next holder; written with the next renewal, which is due at
-    /// once where the row says something else.
+    /// Sets the note that the row carries to the next holder. It is written with the next renewal,
+    /// which becomes due at once if the row has a different note.
     void set_note(std::uint64_t note) { note_ = note; }
-    /// @return the note that the row surely holds while this process holds the lease; nothing
-    /// where it doesn't hold it, or a write is not yet known to have taken effect.
+    /// @return the note stored in the row while this process holds the lease; nothing if it doesn't
+    /// hold the lease, or if a write is not yet known to have taken effect.
     std::optional<std::uint64_t> stored_note(base::monotonic_time now) const;
-    /// @return what the holder before this one had left in the row; 0 where there was none.
+    /// @return the note that the previous holder left in the row; 0 if there was none.
     std::uint64_t predecessor_note() const { return predecessor_note_; }
-    /// @return a moment by which the holder before this one had surely stopped to act; it may
-    /// lie long before this process took the lease, where the table couldn't be reached.
+    /// @return a moment by which the previous holder had certainly stopped acting. It may be long
+    /// before this process acquired the lease if the table was unreachable.
     base::monotonic_time predecessor_end() const { return predecessor_end_; }
 
-    /// @return the holder as last seen, for operators; nothing while free or not known.
+    /// @return the last known holder, for display to operators; nothing if the lease is free or its
+    /// holder is not known.
     std::optional<lease_identity> seen_holder() const;
-    /// @return whether the row holds what is no lease: nobody can take it.
+    /// @return whether the row exists but is not a valid lease record; then no process can acquire
+    /// the lease.
     bool malformed() const { return row_ && !row_->record && row_->version.value != 0; }
 
   private:
     /// The row as last seen.
     struct seen_row {
         row_version version;
-        std::optional<lease_record> record;  ///< Nothing where absent or malformed.
-        base::monotonic_time first_seen;     ///< Of this version.
+        std::optional<lease_record> record;  ///< Empty if the row is absent or malformed.
+        base::monotonic_time first_seen;     ///< When this version was first read.
     };
     struct hold {
         base::fencing_token token;
@@ -88,15 +94,15 @@
     struct pending_write {
         lease_record record;
         base::monotonic_time sent_at;
-        std::uint64_t predecessor_note = 0;      ///< In the row that it replaces.
-        base::monotonic_time predecessor_end{};  ///< Of the hold that the row told of.
+        std::uint64_t predecessor_note = 0;      ///< Note in the row that it replaces.
+        base::monotonic_time predecessor_end{};  ///< End of the hold in that row.
     };
 
     action start_read();
     action start_write(lease_record record, base::monotonic_time now);
     action contend(base::monotonic_time now);
     action acquire(base::monotonic_time now);
-    action keep(base::monotonic_time now);
+    action renew_if_due(base::monotonic_time now);
     action release(base::monotonic_time now);
 
     void on(const row_read& read, base::monotonic_time now);
@@ -105,9 +111,9 @@
     void on(const write_lost& lost, base::monotonic_time now);
     void on(const refused& refusal, base::monotonic_time now);
 
-    void see(const stored_row& row, base::monotonic_time now);
-    void take_effect(row_version version, base::monotonic_time now);
-    void try_later(base::duration delay, base::monotonic_time now);
+    void observe_row(const stored_row& row, base::monotonic_time now);
+    void on_write_effective(row_version version, base::monotonic_time now);
+    void schedule_retry(base::duration delay, base::monotonic_time now);
     bool is_own(const lease_record& record) const { return record.holder == self_; }
     base::monotonic_time free_at() const;
     base::monotonic_time end_of_seen_hold() const;
@@ -116,7 +122,7 @@
     lease_settings settings_;
     base::random_source& random_;
     bool wanted_ = false;
-    bool under_way_ = false;
+    bool in_flight_ = false;
     bool must_read_ = true;
     std::optional<seen_row> row_;
     std::optional<hold> hold_;
--- a/src/ferryroad/coordination/lease/lease_record.cpp
+++ b/src/ferryroad/coordination/lease/lease_record.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/// Form and version of the row; the holder's name is the rest, so that it may be any text.
+/// Format and version of the row. The holder's name comes last, so that it may be any text.
 constexpr std::string_view prefix = "lease2 ";
-/// The form before notes: still read while routers of both kinds run.
+/// The format without a note, still read for routers that write it during an upgrade.
 constexpr std::string_view prefix_without_note = "lease1 ";
 
-/// Takes a number and the space behind it off the front of `text`.
+/// Removes a number and the space after it from the front of `text`.
 std::optional<std::uint64_t> take_number(std::string_view& text) {
     std::uint64_t number = 0;
     const char* end = text.data() + text.size();
--- a/src/ferryroad/coordination/lease/lease_record.hpp
+++ b/src/ferryroad/coordination/lease/lease_record.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A lease's row in the table.
+/// Stored form of a lease: its row in the table.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -12,7 +12,7 @@
 
 namespace ferryroad::coordination::lease {
 
-/// A process that takes leases; a restarted one is another holder.
+/// A process that acquires leases. A restarted process is a different holder.
 struct lease_identity {
     std::string name;
     base::incarnation process;
@@ -20,19 +20,21 @@
     friend bool operator==(const lease_identity&, const lease_identity&) = default;
 };
 
-/// The row is never deleted: it carries the token from one holder to the next.
+/// Content of the row. The row is never deleted, because it carries the fencing token from one
+/// holder to the next.
 struct lease_record {
-    std::optional<lease_identity> holder;  ///< Nothing once released.
-    base::fencing_token token;             ///< Rises with each acquisition.
-    base::duration duration{};             ///< That the holder counts with; whole milliseconds.
-    std::uint64_t write_id = 0;            ///< Tells the writer that this write is its own.
-    std::uint64_t note = 0;                ///< The holder's word to the next one; 0: none.
+    std::optional<lease_identity> holder;  ///< Empty after a release.
+    base::fencing_token token;             ///< Increases with each acquisition.
+    base::duration duration{};   ///< Lease duration that the holder uses; whole milliseconds.
+    std::uint64_t write_id = 0;  ///< Random; lets a process recognize its own write.
+    std::uint64_t note = 0;      ///< Note from the holder to the next one; 0 if none.
 
     friend bool operator==(const lease_record&, const lease_record&) = default;
 };
 
+/// @return the text to store in the row.
 std::string encode(const lease_record& record);
-/// @return nothing where `text` is no lease's row.
+/// @return the record, or nothing if `text` is not a valid lease record.
 std::optional<lease_record> decode(std::string_view text);
 
 }  // namespace ferryroad::coordination::lease
--- a/src/ferryroad/coordination/lease/messages.hpp
+++ b/src/ferryroad/coordination/lease/messages.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What a lease holder asks of the table, and what the table answers. All of it is about one
-/// row, the lease's.
+/// Actions that a lease holder requests and events that answer them. All of them concern a single
+/// row of the table: the row of the lease.
 #pragma once
 
 #include "ferryroad/base/strong_id.hpp"
@@ -16,39 +16,45 @@
 /// Version of the row; 0 while the row is absent.
 using row_version = base::strong_id<struct lease_row_version_tag, std::uint64_t>;
 
+/// The row as stored in the table.
 struct stored_row {
     row_version version;
-    std::string value;  ///< Empty where absent.
+    std::string value;  ///< Empty if the row is absent.
 };
 
 // Actions.
 
+/// Reads the row.
 struct read_row {};
-/// Write the row where it is at `expected`.
+/// Writes the row if its version is still `expected`.
 struct write_row {
     row_version expected;
     std::string value;
 };
-/// Ask again for the next action then, or when something was changed from outside.
+/// Ask for the next action again at `when`, or as soon as one of the holder's settings was changed
+/// from outside.
 struct wait_until {
     base::monotonic_time when;
 };
 using action = std::variant<read_row, write_row, wait_until>;
 
-// Events: one answers each read or write.
+// Events: each read or write is answered by one event.
 
+/// The read succeeded.
 struct row_read {
     stored_row row;
 };
+/// The write took effect.
 struct write_committed {
     row_version version;
 };
+/// The row did not have the expected version; nothing was written.
 struct write_conflicted {
-    stored_row row;  ///< As it stands.
+    stored_row row;  ///< The current row.
 };
-/// Sent, no answer: may have taken effect, or may yet.
+/// No answer arrived; the write may have taken effect, or may still do so.
 struct write_lost {};
-/// A read or write that changed nothing.
+/// The read or write was refused and changed nothing.
 struct refused {
     std::optional<base::duration> retry_after;
 };
--- a/test/coordination/configuration/commit_test.cpp
+++ b/test/coordination/configuration/commit_test.cpp
@@ -1,5 +1,6 @@
-/// Of racing changes one wins each revision, and an operation takes effect once, whatever
-/// answers are lost and whenever the table gets round to it.
+/// Property test of commits: of concurrent changes to one revision exactly one wins, and an
+/// operation takes effect exactly once, even when answers are lost and transactions are applied
+/// late.
 #include "ferryroad/coordination/configuration/commit.hpp"
 
 #include "ferryroad/base/random.hpp"
@@ -23,7 +24,7 @@
 
 constexpr log_limits small_limits{4, 8, 32, 6, 3};
 
-/// One operator's tool with the router that it talks to.
+/// One operator's client and the replica of the router that serves it.
 struct operator_run {
     commit_request request;
     change_function make_change;
@@ -42,17 +43,17 @@
     bool holds() const {
         return std::holds_alternative<Step>(step);
     }
-    /// The router died or the answer never came: the tool begins again under the same id.
+    /// The router died or the answer was lost: the client starts again with the same operation id.
     void begin_again() {
         process = commit_process(request, make_change, small_limits);
         step = process.start();
     }
 };
 
-/// What the network does with one exchange.
+/// What happens to one request and its answer.
 enum class fault { none, request_lost, answer_lost, late };
 
-/// Transactions that were sent, given up on, and may still arrive.
+/// Transactions whose sender no longer waits for an answer, but which may still arrive.
 using late_transactions = std::vector<commit_transaction>;
 
 void take_submit(operator_run& run, model_table& table, late_transactions& late,
@@ -98,7 +99,7 @@
                       [&](const change& past) { return past.operation == operation; }));
 }
 
-/// Puts a value of the operation's own, so that it always changes something.
+/// Sets a value unique to the operation, so that the operation always changes something.
 operator_run make_run(int index, std::optional<base::revision> expected) {
     const std::string name = "operation-" + std::to_string(index);
     return {{operation_id(name), author_name("author"), expected}, [name](const resources&) {
@@ -106,10 +107,10 @@
             }};
 }
 
-/// Far more than any run needs: a run that goes on is a livelock.
+/// Many times what a run needs; a run that takes more steps is a livelock.
 constexpr int most_steps = 10000;
 
-/// Runs all operators' steps in a random order until each has ended.
+/// Interleaves the steps of all operators at random until each operation has ended.
 void run_all(std::vector<operator_run>& runs, model_table& table) {
     base::seeded_random random(*rc::gen::arbitrary<std::uint64_t>());
     late_transactions late;
@@ -186,7 +187,8 @@
     model_table table;
     operator_run first = make_run(1, std::nullopt);
     first.step = first.process.on_head(table.head(), first.router.held());
-    cr_assert(table.write(std::get<submit>(first.step).transaction));  // The answer is lost.
+    cr_assert(table.write(
+        std::get<submit>(first.step).transaction));  // The answer to this write is lost.
     for (int index = 0; index < 3; ++index) {
         commit_plainly(table, {{resource_key("shared"), "later" + std::to_string(index)}},
                        small_limits);
--- a/test/coordination/configuration/confirmation_clock_test.cpp
+++ b/test/coordination/configuration/confirmation_clock_test.cpp
@@ -1,4 +1,4 @@
-/// A revision counts as the newest only as long as somebody who knows said so lately.
+/// A revision counts as the newest only if the table or a confirmed peer said so within the limit.
 #include "ferryroad/coordination/configuration/confirmation_clock.hpp"
 
 #include <criterion/criterion.h>
--- a/test/coordination/configuration/model_table.hpp
+++ b/test/coordination/configuration/model_table.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A table that holds the log's rows as typed values, for models of the log.
+/// A model of the table that holds the rows of the change log as typed values.
 #pragma once
 
 #include "ferryroad/coordination/configuration/commit.hpp"
@@ -15,7 +15,7 @@
   public:
     versioned_head head() const { return head_; }
 
-    /// @return false where another transaction came first.
+    /// @return false if another transaction was committed first.
     bool write(const commit_transaction& transaction) {
         if (transaction.expected != head_.version) {
             return false;
@@ -35,7 +35,7 @@
         return true;
     }
 
-    /// @return nothing where a row that the plan names is gone.
+    /// @return nothing if a row named by the plan no longer exists.
     std::optional<pull_answer> read(const read_plan& plan) const {
         pull_answer answer;
         answer.head = plan.last_change;
@@ -56,11 +56,11 @@
         return answer;
     }
 
-    /// Every change that ever took effect, also those whose rows have expired.
+    /// Every change that ever took effect, including those whose rows have expired.
     const std::vector<change>& history() const { return history_; }
     std::size_t rows() const { return changes_.size() + snapshots_.size(); }
 
-    /// @return the state that the history makes up to `revision`.
+    /// @return the state that results from the history up to `revision`.
     resources state_at(base::revision revision) const {
         resources content;
         for (const change& past : history_) {
@@ -78,7 +78,7 @@
     std::vector<change> history_;
 };
 
-/// Commits `resources` as one change, without any fault.
+/// Commits `resources` as one change, without simulated faults.
 inline void commit_plainly(model_table& table, std::vector<resource_change> resources,
                            const log_limits& limits) {
     const base::revision head = table.head().head.revision;
--- a/test/coordination/configuration/replica_test.cpp
+++ b/test/coordination/configuration/replica_test.cpp
@@ -1,5 +1,5 @@
-/// A replica never goes back, holds exactly what the log says at its revision, and converges
-/// however changes are lost, doubled and reordered.
+/// A replica never goes back to an older revision, holds exactly the content that the log has at
+/// its revision, and converges when changes are lost, duplicated or reordered.
 #include "ferryroad/coordination/configuration/replica.hpp"
 
 #include "test/coordination/configuration/model_table.hpp"
@@ -41,7 +41,7 @@
     RC_ASSERT(held.heard() >= held.revision());
 }
 
-/// The replica's steps join without a gap.
+/// Checks that each step of the replica starts at the revision where the step before it ended.
 void assert_joined(const std::vector<applied_change>& steps, base::revision from,
                    base::revision to) {
     for (const applied_change& step : steps) {
@@ -79,7 +79,8 @@
             const base::revision at(static_cast<std::uint64_t>(*rc::gen::inRange(0, top + 1)));
             const auto steps = held.on_snapshot({at, table.state_at(at)});
             assert_joined(steps, before, held.revision());
-            RC_ASSERT(held.revision() >= std::max(before, at));  // Early changes may follow.
+            RC_ASSERT(held.revision() >=
+                      std::max(before, at));  // Buffered changes may be applied as well.
             if (!table.history().empty()) {
                 held.on_change(*rc::gen::elementOf(table.history()));
             }
@@ -93,7 +94,7 @@
         const model_table table = random_log(40);
         std::vector<replica> routers(4, replica(small_limits));
         for (const change& next : table.history()) {
-            // A push reaches some of them.
+            // The push reaches a random subset of the replicas.
             for (replica& router : routers) {
                 if (*rc::gen::inRange(0, 3) == 0) {
                     router.on_change(next);
--- a/test/coordination/lease/lease_holder_test.cpp
+++ b/test/coordination/lease/lease_holder_test.cpp
@@ -1,4 +1,4 @@
-/// One holder, event by event, and its row's text.
+/// Tests of one lease holder, event by event, and of the encoding of its row.
 #include "ferryroad/coordination/lease/lease_holder.hpp"
 
 #include <criterion/criterion.h>
@@ -28,7 +28,7 @@
         return std::get<Action>(wanted);
     }
     void answer(const event& happened) { holder.handle(happened, now); }
-    /// Up to the write that acquires the free lease.
+    /// Runs the holder up to the write that acquires the free lease.
     write_row acquire() {
         expect<read_row>();
         answer(row_read{});
@@ -111,7 +111,7 @@
     test.expect<read_row>();
     test.answer(row_read{{row_version(5), row_of(other, 4)}});
     test.now += 9s;
-    test.expect<read_row>();  // A poll: the version is the same, the wait goes on.
+    test.expect<read_row>();  // A poll: the version is unchanged, so the wait continues.
     test.answer(row_read{{row_version(5), row_of(other, 4)}});
     test.now += 1s;
     test.expect<wait_until>();
@@ -211,7 +211,7 @@
     at.expect<read_row>();
     at.answer(row_read{{row_version(5), row_of({"router 2", base::incarnation(3)}, 4)}});
     const base::monotonic_time seen = at.now;
-    at.now += 30s;  // The table can't be reached, or this process was paused.
+    at.now += 30s;  // The table is unreachable, or this process is paused.
     at.expect<write_row>();
     at.answer(write_committed{row_version(6)});
     cr_assert(at.holder.token(at.now).has_value());
--- a/test/coordination/lease/lease_property_test.cpp
+++ b/test/coordination/lease/lease_property_test.cpp
@@ -1,5 +1,5 @@
-/// Several processes contend for one lease under drifting clocks, pauses, lost, late and
-/// refused writes.
+/// Property test of leases: several processes contend for one lease with drifting clocks, pauses,
+/// and writes that are lost, delayed or refused.
 #include "ferryroad/base/random.hpp"
 #include "ferryroad/coordination/lease/lease_holder.hpp"
 
@@ -22,11 +22,11 @@
 
 struct fault_shares {
     double refused = 0;
-    double lost = 0;     ///< Took effect, no answer.
-    double delayed = 0;  ///< No answer, takes effect seconds later.
+    double lost = 0;     ///< The write takes effect, but no answer arrives.
+    double delayed = 0;  ///< No answer arrives, and the write takes effect seconds later.
 };
 
-/// The row, with writes that may take effect late.
+/// The row of the lease, and writes that may take effect late.
 struct model_table {
     stored_row row;
     std::uint64_t versions = 0;
@@ -82,7 +82,7 @@
             want(index, true);
         }
     }
-    /// @return processes that now believe that they hold the lease.
+    /// @return the number of processes that believe they hold the lease.
     std::size_t believers() const {
         return static_cast<std::size_t>(std::count_if(
             processes_.begin(), processes_.end(),
@@ -148,7 +148,7 @@
         return committed ? event(write_committed{table_.row.version})
                          : event(write_conflicted{table_.row});
     }
-    /// Paused processes count: they act on what they believe when they wake.
+    /// Paused processes count as well: when they wake, they act on what they believe.
     void look() {
         most_believers = std::max(most_believers, believers());
         for (auto& each : processes_) {
@@ -204,7 +204,8 @@
 }
 
 Test(lease, a_clock_beyond_the_bound_is_seen_by_the_check) {
-    // The check itself: with clocks that differ by 40%, two holders do believe at once.
+    // Validates the check: with clock rates that differ by 40%, two processes do believe at once
+    // that they hold the lease.
     std::size_t most = 0;
     for (std::uint64_t seed = 0; seed < 40 && most < 2; ++seed) {
         contest leases(3, seed, 0.4);
