--- a/src/ferryroad/coordination/claim/errors.hpp
+++ b/src/ferryroad/coordination/claim/errors.hpp
@@ -6,8 +6,9 @@
 
 namespace ferryroad::coordination::claim {
 
+/// Not a claim record.
 enum class record_error_code {
-    malformed,       ///< Not a claim record.
+    malformed,
     unknown_format,  ///< Written by an incompatible version of this library.
 };
 
--- a/src/ferryroad/coordination/claim/opening.hpp
+++ b/src/ferryroad/coordination/claim/opening.hpp
@@ -13,8 +13,9 @@
 namespace ferryroad::coordination::claim {
 
 /// The attempt that claims and the content that it claims the key for.
+/// Never used twice, by any process.
 struct claim_terms {
-    base::attempt_id attempt;  ///< Never used twice, by any process.
+    base::attempt_id attempt;
     holder owner;
     std::string content_digest;
 };
--- a/src/ferryroad/coordination/claim/record.hpp
+++ b/src/ferryroad/coordination/claim/record.hpp
@@ -27,10 +27,11 @@
 };
 
 /// State of a stored claim.
+/// The holder may dispatch the request, or has done so.
 enum class record_state {
-    in_progress,  ///< The holder may dispatch the request, or has done so.
-    finished,     ///< Ran once; the outcome is stored.
-    unknown       ///< May have run; closed without an outcome.
+    in_progress,
+    finished,  ///< Ran once; the outcome is stored.
+    unknown    ///< May have run; closed without an outcome.
 };
 
 /// Outcome of the request; the meaning of its fields is up to the embedder.
@@ -48,8 +49,8 @@
     holder owner;
     std::string content_digest;      ///< A key that is reused for different content is refused.
     std::int64_t claimed_at_ms = 0;  ///< Unix time by the wall clock of the holder.
-    std::int64_t ended_at_ms =
-        0;  ///< Unix time at which the claim was closed; 0 while in progress.
+    /// Unix time at which the claim was closed; 0 while in progress.
+    std::int64_t ended_at_ms = 0;
     std::optional<outcome> kept_outcome;  ///< Present if finished.
     friend bool operator==(const record&, const record&) = default;
 };
--- a/src/ferryroad/coordination/claim/tunables.hpp
+++ b/src/ferryroad/coordination/claim/tunables.hpp
@@ -16,14 +16,14 @@
     /// exceed the longest request deadline plus the largest difference between the wall clocks of
     /// the processes.
     base::duration longest_work = std::chrono::minutes(15);
-    std::uint32_t writes =
-        6;  ///< Maximum number of conditional writes to make or to close one claim.
+    /// Maximum number of conditional writes to make or to close one claim.
+    std::uint32_t writes = 6;
     std::uint32_t reads = 6;  ///< Maximum number of reads to make or to close one claim.
     /// Number of times the row is polled for the outcome of another attempt in progress before
     /// `in_progress` is reported.
     std::uint32_t polls = 5;
-    base::duration first_delay =
-        std::chrono::milliseconds(50);  ///< Delay before the first retry; doubles with each retry.
+    /// Delay before the first retry; doubles with each retry.
+    base::duration first_delay = std::chrono::milliseconds(50);
     base::duration longest_delay = std::chrono::seconds(2);  ///< Upper limit of that delay.
 };
 
--- a/src/ferryroad/coordination/configuration/types.hpp
+++ b/src/ferryroad/coordination/configuration/types.hpp
@@ -1,7 +1,6 @@
 /// @file
 /// Replicated configuration: opaque resources (a key and a text) with revisions that only increase.
-/// Each revision is the one before it plus one change. Replicas exchange changes, not whole
-/// configurations.
+/// Revision n is revision n-1 plus one change. Replicas exchange changes, not whole configurations.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
--- a/src/ferryroad/coordination/membership/dissemination.cpp
+++ b/src/ferryroad/coordination/membership/dissemination.cpp
@@ -23,7 +23,7 @@
     std::erase_if(notices_, [&](const auto& entry) {
         const bool old = now_ - entry.second.since > settings_.notice_retention;
         if (old) {
-            notice_news_.remove(entry.first);
+            notice_updates_.remove(entry.first);
         }
         return old;
     });
@@ -35,31 +35,31 @@
     if (latest_.size() > settings_.repairs_per_datagram) {
         latest_.pop_back();
     }
-    member_news_.add(name.value);
+    member_updates_.add(name.value);
 }
 
-void dissemination::member_unknown_elsewhere(const base::router_name& name) {
-    member_news_.add(name.value);
+void dissemination::peer_lacks_member(const base::router_name& name) {
+    member_updates_.add(name.value);
 }
 
 void dissemination::view_matched() {
-    member_news_.credit(transmission_limit());
+    member_updates_.credit(transmission_limit());
 }
 
 bool dissemination::spread(const notice& message) {
     const auto known = notices_.find(message.subject);
     if (known != notices_.end()) {
         const notice& held = known->second.message;
-        const bool news = message.version > held.version ||
-                          (message.version == held.version && message.raised && !held.raised);
-        if (!news) {
+        const bool is_newer = message.version > held.version ||
+                              (message.version == held.version && message.raised && !held.raised);
+        if (!is_newer) {
             return false;
         }
-    } else if (notices_.size() >= settings_.most_notices) {
+    } else if (notices_.size() >= settings_.max_notices) {
         return false;
     }
-    notices_[message.subject] = kept_notice{message, now_};
-    notice_news_.add(message.subject);
+    notices_[message.subject] = stored_notice{message, now_};
+    notice_updates_.add(message.subject);
     return true;
 }
 
@@ -72,8 +72,8 @@
     return true;
 }
 
-bool dissemination::has_news() const {
-    const bool entries = !member_news_.empty() || !notice_news_.empty();
+bool dissemination::has_updates() const {
+    const bool entries = !member_updates_.empty() || !notice_updates_.empty();
     return (entries && allowance_ >= 1.0) || revision_transmissions_left_ > 0;
 }
 
@@ -83,16 +83,16 @@
         --revision_transmissions_left_;
     }
     add_notices(message);
-    add_news(message, receiver);
+    add_updates(message, receiver);
     if (receiver != nullptr && receiver->view_differs) {
         add_repairs(message);
     }
 }
 
 void dissemination::add_notices(datagram& message) {
-    const std::size_t wanted = std::min(settings_.notices_per_datagram, notice_news_.size());
+    const std::size_t wanted = std::min(settings_.notices_per_datagram, notice_updates_.size());
     const std::size_t count = take_allowance(wanted);
-    for (const std::string& subject : notice_news_.take(count, transmission_limit())) {
+    for (const std::string& subject : notice_updates_.take(count, transmission_limit())) {
         const auto held = notices_.find(subject);
         if (held != notices_.end()) {
             message.notices.push_back(held->second.message);
@@ -100,16 +100,17 @@
     }
 }
 
-void dissemination::add_news(datagram& message, const member_record* receiver) {
-    // A receiver that is suspected or taken for dead hears it first, so that it can refute.
+void dissemination::add_updates(datagram& message, const member_record* receiver) {
+    // A receiver that is suspected or declared dead gets its own state first, so that it can refute
+    // it.
     const bool accused = receiver != nullptr && (receiver->update.state == member_state::suspect ||
                                                  receiver->update.state == member_state::dead);
     if (accused) {
         message.members.push_back(receiver->update);
     }
     const std::size_t room = settings_.members_per_datagram - message.members.size();
-    const std::size_t count = take_allowance(std::min(room, member_news_.size()));
-    for (const std::string& subject : member_news_.take(count, transmission_limit())) {
+    const std::size_t count = take_allowance(std::min(room, member_updates_.size()));
+    for (const std::string& subject : member_updates_.take(count, transmission_limit())) {
         add_member(message, base::router_name(subject));
     }
 }
--- a/src/ferryroad/coordination/membership/dissemination.hpp
+++ b/src/ferryroad/coordination/membership/dissemination.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What one member passes on: news of members, notices and the revision, within a bound of
-/// entries a second.
+/// Gossip content of one member: member updates, notices and the revision, within a limit of
+/// entries per second.
 #pragma once
 
 #include "ferryroad/base/time.hpp"
@@ -17,35 +17,38 @@
 
 namespace ferryroad::coordination::membership {
 
-/// Fills datagrams. Not thread-safe.
+/// Adds gossip to outgoing datagrams. Not thread-safe.
 class dissemination {
   public:
-    /// @param self, table outlive this object.
+    /// @param settings, self, table must outlive this object.
     dissemination(const detector_settings& settings, const member_update& self,
                   const member_table& table, base::monotonic_time now);
 
-    /// To be called first in each event: earns allowance and forgets what is old.
+    /// Must be called first in each event: replenishes the allowance of entries and drops entries
+    /// that are too old.
     void advance(base::monotonic_time now);
-    /// A member, or this one, has changed.
+    /// The state of a member, or of this one, has changed.
     void member_changed(const base::router_name& name);
-    /// Another member is found not to know of `name`.
-    void member_unknown_elsewhere(const base::router_name& name);
-    /// Another member's view was found equal.
+    /// Another member was found not to know the current state of `name`.
+    void peer_lacks_member(const base::router_name& name);
+    /// The view of another member was found to be equal to this one's.
     void view_matched();
-    /// @return whether the notice was news.
+    /// Queues a notice for all members.
+    /// @return whether the notice was not known before.
     bool spread(const notice& message);
-    /// @return whether it was higher than the one before.
+    /// @return whether the revision was higher than the previous one.
     bool set_revision(std::uint64_t revision);
     std::uint64_t revision() const { return revision_; }
 
-    /// @return whether a datagram without probe is worth sending.
-    bool has_news() const;
-    /// Adds the revision and, as far as room and allowance go, notices and members.
-    /// @param receiver null where unknown.
+    /// @return whether there is enough to send to justify a datagram without a probe.
+    bool has_updates() const;
+    /// Adds the revision to `message` and, within the size limits and the allowance, notices and
+    /// member updates.
+    /// @param receiver null if unknown.
     void fill(datagram& message, const member_record* receiver);
 
   private:
-    struct kept_notice {
+    struct stored_notice {
         notice message;
         base::monotonic_time since;
     };
@@ -55,7 +58,7 @@
     };
 
     void add_notices(datagram& message);
-    void add_news(datagram& message, const member_record* receiver);
+    void add_updates(datagram& message, const member_record* receiver);
     void add_repairs(datagram& message);
     void add_member(datagram& message, const base::router_name& name);
     std::uint32_t transmission_limit() const;
@@ -64,10 +67,10 @@
     const detector_settings& settings_;
     const member_update& self_;
     const member_table& table_;
-    news_queue member_news_;
-    news_queue notice_news_;
-    std::map<std::string, kept_notice> notices_;
-    std::deque<latest_change> latest_;  ///< The newest first.
+    update_queue member_updates_;
+    update_queue notice_updates_;
+    std::map<std::string, stored_notice> notices_;
+    std::deque<latest_change> latest_;  ///< Newest first.
     std::uint64_t revision_ = 0;
     std::uint32_t revision_transmissions_left_ = 0;
     double allowance_;
--- a/src/ferryroad/coordination/membership/failure_detector.cpp
+++ b/src/ferryroad/coordination/membership/failure_detector.cpp
@@ -8,12 +8,13 @@
 
 namespace {
 
-/// Pings on behalf of others at work at one time; more are refused.
-constexpr std::size_t most_relays = 64;
-/// Entries taken from one datagram.
-constexpr std::size_t most_entries = 64;
+/// Maximum number of pings in flight on behalf of other members; further requests are ignored.
+constexpr std::size_t max_relays = 64;
+/// Maximum number of member entries processed per datagram.
+constexpr std::size_t max_entries = 64;
 
-/// Between half and one and a half of `period`, so that members don't act in step.
+/// @return a random duration between 0.5 and 1.5 times `period`, so that members don't act in
+/// lockstep.
 base::duration jittered(base::duration period, base::random_source& random) {
     return base::from_seconds(base::to_seconds(period) * (0.5 + random.unit()));
 }
@@ -28,14 +29,14 @@
       seeds_(std::move(seeds)),
       random_(random),
       table_(random),
-      news_(settings_, self_, table_, now),
+      dissemination_(settings_, self_, table_, now),
       next_sequence_(random.next()),
       next_probe_(now + jittered(settings.probe_period, random)),
       next_gossip_(now),
       next_dead_probe_(now + jittered(settings.dead_probe_period, random)),
       next_seed_(now),
       list_period_(settings.shortest_list_period),
-      next_list_(now + jittered(settings.shortest_list_period, random)) {
+      next_member_list_(now + jittered(settings.shortest_list_period, random)) {
     announce_self();
 }
 
@@ -52,13 +53,13 @@
     if (late > settings_.pause_tolerance) {
         resume_after_pause(late, now);
     }
-    news_.advance(now);
+    dissemination_.advance(now);
     expire_suspicions(now);
     std::erase_if(relays_, [&](const auto& entry) { return entry.second.deadline <= now; });
     advance_probe(now);
     probe_dead_member(now);
-    try_seeds(now);
-    ask_for_list(now);
+    contact_seeds(now);
+    request_member_list(now);
     gossip(now);
     return take_actions();
 }
@@ -68,8 +69,8 @@
     if (departed_ || message.sender == self_.name) {
         return {};
     }
-    news_.advance(now);
-    const std::size_t entries = std::min(message.members.size(), most_entries);
+    dissemination_.advance(now);
+    const std::size_t entries = std::min(message.members.size(), max_entries);
     for (std::size_t index = 0; index < entries; ++index) {
         merge(message.members[index], now);
     }
@@ -81,11 +82,11 @@
         sender->view_differs = differs;
     }
     if (!differs) {
-        news_.view_matched();
+        dissemination_.view_matched();
         list_period_ = settings_.shortest_list_period;
-        schedule_list(now);
+        schedule_member_list(now);
     }
-    if (message.revision > news_.revision()) {
+    if (message.revision > dissemination_.revision()) {
         pending_.emplace_back(revision_seen{message.sender, from, message.revision});
     }
     answer_probe(message, from, now);
@@ -117,13 +118,13 @@
     }
     if (digest() == before) {
         list_period_ = std::min(list_period_ * 2, settings_.longest_list_period);
-        schedule_list(now);
+        schedule_member_list(now);
     }
-    spread_what_lacks(message);
+    queue_updates_missing_in(message);
     return take_actions();
 }
 
-void failure_detector::spread_what_lacks(const join_answer& message) {
+void failure_detector::queue_updates_missing_in(const join_answer& message) {
     std::map<base::router_name, const member_update*> listed;
     for (const member_update& update : message.members) {
         listed[update.name] = &update;
@@ -134,7 +135,7 @@
         const bool lacks =
             found == listed.end() ? !dead : supersedes(record.update, *found->second);
         if (lacks) {
-            news_.member_unknown_elsewhere(name);
+            dissemination_.peer_lacks_member(name);
         }
     }
 }
@@ -144,12 +145,12 @@
 }
 
 void failure_detector::set_revision(std::uint64_t revision) {
-    news_.set_revision(revision);
+    dissemination_.set_revision(revision);
 }
 
 void failure_detector::spread(const notice& message, base::monotonic_time now) {
-    news_.advance(now);
-    if (news_.spread(message)) {
+    dissemination_.advance(now);
+    if (dissemination_.spread(message)) {
         pending_.emplace_back(notice_learned{message});
     }
 }
@@ -170,8 +171,8 @@
     leave();
     self_.state = member_state::dead;
     for (const member_record* member : table_.sample_live(settings_.departure_fanout)) {
-        datagram farewell{self_.name, self_.incarnation, news_.revision(), digest(), {}, {self_},
-                          {}};
+        datagram farewell{
+            self_.name, self_.incarnation, dissemination_.revision(), digest(), {}, {self_}, {}};
         pending_.emplace_back(send_datagram{member->update.address, std::move(farewell)});
     }
     departed_ = true;
@@ -217,7 +218,7 @@
         if (probe_.phase == probe_phase::direct) {
             ask_others_to_probe(now);
         } else {
-            judge_probe(now);
+            fail_probe(now);
         }
     }
     if (probe_.phase == probe_phase::idle && now >= next_probe_) {
@@ -242,8 +243,8 @@
 void failure_detector::ask_others_to_probe(base::monotonic_time now) {
     probe_.phase = probe_phase::indirect;
     probe_.deadline = now + settings_.probe_period - settings_.direct_timeout;
-    // Enough candidates for a choice; others' zones first: their ways to the target differ most
-    // from the one that has just failed.
+    // Sample enough candidates to choose from, and prefer members in other zones: their network
+    // paths to the target differ most from the path that just failed.
     std::vector<const member_record*> helpers =
         table_.sample_live(std::size_t{settings_.indirect_probes} * 4 + 1);
     std::erase_if(helpers, [&](const member_record* helper) {
@@ -260,7 +261,7 @@
     }
 }
 
-void failure_detector::judge_probe(base::monotonic_time now) {
+void failure_detector::fail_probe(base::monotonic_time now) {
     const member_record* record = table_.find(probe_.target);
     probe_ = probe_state{};
     if (record == nullptr || record->update.state == member_state::dead ||
@@ -268,7 +269,7 @@
         return;
     }
     member_update update = record->update;
-    // A leaving member has said that it goes: there is nothing to suspect.
+    // A leaving member has announced its stop, so there is no need to suspect it first.
     const bool leaving = update.state == member_state::leaving;
     update.state = leaving ? member_state::dead : member_state::suspect;
     apply(update, now);
@@ -280,7 +281,7 @@
     }
     next_gossip_ = std::max(next_gossip_ + settings_.gossip_period, now);
     for (const member_record* member : table_.sample_live(settings_.gossip_fanout)) {
-        if (!news_.has_news()) {
+        if (!dissemination_.has_updates()) {
             return;
         }
         send(member->update.address, member, std::monostate{});
@@ -298,7 +299,7 @@
     }
 }
 
-void failure_detector::try_seeds(base::monotonic_time now) {
+void failure_detector::contact_seeds(base::monotonic_time now) {
     if (now < next_seed_) {
         return;
     }
@@ -316,20 +317,20 @@
     }
 }
 
-void failure_detector::ask_for_list(base::monotonic_time now) {
-    if (now < next_list_) {
+void failure_detector::request_member_list(base::monotonic_time now) {
+    if (now < next_member_list_) {
         return;
     }
-    schedule_list(now);
+    schedule_member_list(now);
     for (const member_record* member : table_.sample_live(1)) {
         pending_.emplace_back(request_join{member->update.address, join_request{self_}});
     }
 }
 
-void failure_detector::schedule_list(base::monotonic_time now) {
+void failure_detector::schedule_member_list(base::monotonic_time now) {
     const auto members = static_cast<std::int64_t>(table_.live_count());
     const base::duration period = list_period_ + members * settings_.list_period_per_member;
-    next_list_ = now + jittered(period, random_);
+    next_member_list_ = now + jittered(period, random_);
 }
 
 // ---- Messages ----
@@ -349,7 +350,7 @@
 void failure_detector::relay_ping(const ping_request& request, const base::endpoint& origin,
                                   base::monotonic_time now) {
     const member_record* target = table_.find(request.target);
-    if (target == nullptr || relays_.size() >= most_relays) {
+    if (target == nullptr || relays_.size() >= max_relays) {
         return;
     }
     const std::uint64_t sequence = next_sequence_++;
@@ -385,7 +386,7 @@
         self_.incarnation.value = update.incarnation.value + 1;
         announce_self();
     } else if (update.state == member_state::suspect || update.state == member_state::dead) {
-        announce_self();  // Refuted before, but the refutation didn't reach everyone.
+        announce_self();  // It was refuted before, but the refutation didn't reach everyone.
     }
 }
 
@@ -394,8 +395,9 @@
     const member_record* known = table_.find(update.name);
     const bool death = update.state == member_state::dead;
     if (known == nullptr) {
-        // Nothing depends on a dead stranger, and a full table takes nobody.
-        const bool room = table_.records().size() < settings_.most_members;
+        // An unknown member that is dead is of no interest, and a full table accepts no more
+        // members.
+        const bool room = table_.records().size() < settings_.max_members;
         return death || !room ? std::nullopt : std::optional(update);
     }
     if (!supersedes(update, known->update)) {
@@ -404,7 +406,7 @@
     if (!death || known->update.state == member_state::leaving) {
         return update;
     }
-    // News of a death shortens the time to refute, but never takes it away: it may come from
+    // A reported death shortens the time to refute but never removes it: the report may come from
     // the other side of a partition.
     const bool suspected = known->update.state == member_state::suspect;
     if (suspected) {
@@ -418,12 +420,12 @@
 
 void failure_detector::apply(const member_update& update, base::monotonic_time now) {
     table_.put(update, now);
-    news_.member_changed(update.name);
+    dissemination_.member_changed(update.name);
     pending_.emplace_back(member_changed{update});
 }
 
 void failure_detector::announce_self() {
-    news_.member_changed(self_.name);
+    dissemination_.member_changed(self_.name);
 }
 
 // ---- Sending ----
@@ -431,7 +433,7 @@
 void failure_detector::send(const base::endpoint& to, const member_record* receiver,
                             probe content) {
     datagram out{self_.name, self_.incarnation, 0, digest(), std::move(content), {}, {}};
-    news_.fill(out, receiver);
+    dissemination_.fill(out, receiver);
     pending_.emplace_back(send_datagram{to, std::move(out)});
 }
 
--- a/src/ferryroad/coordination/membership/member_table.cpp
+++ b/src/ferryroad/coordination/membership/member_table.cpp
@@ -64,7 +64,8 @@
 }
 
 void member_table::add_live(const base::router_name& name) {
-    // Anywhere in what is left of this round, so that its first probe comes at a random time.
+    // Insert at a random position in the rest of this round, so that the first probe comes at a
+    // random time.
     const std::size_t left = probe_order_.size() - probe_cursor_;
     const std::size_t place = probe_cursor_ + random_.below(left + 1);
     probe_order_.insert(probe_order_.begin() + static_cast<std::ptrdiff_t>(place), name);
@@ -97,7 +98,7 @@
     if (probe_order_.empty()) {
         return sample;
     }
-    // A random start and stride of one: the order itself is shuffled.
+    // Take consecutive members from a random start; the order itself is shuffled.
     const std::size_t start = random_.below(probe_order_.size());
     const std::size_t size = std::min(count, probe_order_.size());
     for (std::size_t step = 0; step < size; ++step) {
--- a/src/ferryroad/coordination/membership/member_table.hpp
+++ b/src/ferryroad/coordination/membership/member_table.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The other members as this one sees them, with the digest that two members compare and the
-/// order in which they are probed.
+/// The other members as seen by this one, with a digest to compare views between members and the
+/// order in which members are probed.
 #pragma once
 
 #include "ferryroad/base/random.hpp"
@@ -15,38 +15,42 @@
 
 namespace ferryroad::coordination::membership {
 
+/// State of one other member.
 struct member_record {
     member_update update;
     base::monotonic_time changed_at;
-    /// Its last datagram carried another digest than ours.
+    /// Its last datagram carried a digest that differs from this member's.
     bool view_differs = false;
 };
 
-/// @return this entry's part of a view's digest (parts are combined by exclusive or). Dead
-/// members have none, because they are forgotten at different times.
+/// @return the part of this entry in the digest of a view; the parts are combined by exclusive or.
+/// Dead members contribute nothing, because members forget them at different times.
 std::uint64_t digest_part(const member_update& update);
 
-/// @return whether `update` replaces `known`: higher incarnation, or a later state in the same.
+/// @return whether `update` replaces `known`: it has a higher incarnation, or the same incarnation
+/// and a later state.
 bool supersedes(const member_update& update, const member_update& known);
 
-/// Not thread-safe. References stay valid until the member is forgotten.
+/// The known members. Not thread-safe. References stay valid until the member is forgotten.
 class member_table {
   public:
-    /// @param random outlives the table.
+    /// @param random must outlive the table.
     explicit member_table(base::random_source& random) : random_(random) {}
 
+    /// @return the member, or null if it is unknown.
     member_record* find(const base::router_name& name);
     const member_record* find(const base::router_name& name) const;
-    /// Adds or replaces; the caller has checked that it supersedes.
+    /// Adds or replaces a member. The caller has checked that `update` supersedes the known state.
     void put(const member_update& update, base::monotonic_time now);
-    /// Forgets members that have been dead since before `before`.
+    /// Removes members that have been dead since before `before`.
     void forget_dead(base::monotonic_time before);
 
-    /// @return the next member to probe: every live one once in each round, in random order.
+    /// @return the next member to probe, or nothing if no member is live. Each round probes every
+    /// live member once, in random order.
     std::optional<base::router_name> next_probe_target();
-    /// @return up to `count` different live members.
+    /// @return up to `count` distinct live members, chosen at random.
     std::vector<const member_record*> sample_live(std::size_t count) const;
-    /// @return one dead member.
+    /// @return a random dead member, or null if there is none.
     const member_record* sample_dead() const;
     /// @return whether a live member has this address.
     bool live_at(const base::endpoint& address) const;
@@ -60,7 +64,8 @@
   private:
     void add_live(const base::router_name& name);
     void remove_live(const base::router_name& name);
-    /// Adds (or with -1 takes away) the record's part in counts, digest and order.
+    /// Adds the entry's part to the digest and the number of suspects, or removes it if `present`
+    /// is false.
     void count(const member_update& update, bool present);
 
     base::random_source& random_;
--- a/src/ferryroad/coordination/membership/news_queue.cpp
+++ b/src/ferryroad/coordination/membership/news_queue.cpp
@@ -4,12 +4,12 @@
 
 namespace ferryroad::coordination::membership {
 
-void news_queue::add(const std::string& subject) {
+void update_queue::add(const std::string& subject) {
     remove(subject);
     by_subject_[subject] = order_.insert(entry{0, next_age_++, subject}).first;
 }
 
-void news_queue::remove(const std::string& subject) {
+void update_queue::remove(const std::string& subject) {
     const auto found = by_subject_.find(subject);
     if (found != by_subject_.end()) {
         order_.erase(found->second);
@@ -17,19 +17,19 @@
     }
 }
 
-void news_queue::credit(std::uint32_t limit) {
+void update_queue::credit(std::uint32_t limit) {
     std::set<entry> credited;
-    for (entry piece : order_) {
-        if (++piece.transmissions >= limit) {
-            by_subject_.erase(piece.subject);
+    for (entry queued : order_) {
+        if (++queued.transmissions >= limit) {
+            by_subject_.erase(queued.subject);
         } else {
-            by_subject_[piece.subject] = credited.insert(credited.end(), piece);
+            by_subject_[queued.subject] = credited.insert(credited.end(), queued);
         }
     }
     order_ = std::move(credited);
 }
 
-std::vector<std::string> news_queue::take(std::size_t count, std::uint32_t limit) {
+std::vector<std::string> update_queue::take(std::size_t count, std::uint32_t limit) {
     std::vector<entry> sent;
     while (sent.size() < count && !order_.empty()) {
         entry next = *order_.begin();
@@ -38,12 +38,12 @@
         sent.push_back(std::move(next));
     }
     std::vector<std::string> subjects;
-    for (const entry& piece : sent) {
-        subjects.push_back(piece.subject);
-        if (piece.transmissions < limit) {
-            by_subject_[piece.subject] = order_.insert(piece).first;
+    for (const entry& queued : sent) {
+        subjects.push_back(queued.subject);
+        if (queued.transmissions < limit) {
+            by_subject_[queued.subject] = order_.insert(queued).first;
         } else {
-            by_subject_.erase(piece.subject);
+            by_subject_.erase(queued.subject);
         }
     }
     return subjects;
--- a/src/ferryroad/coordination/membership/news_queue.hpp
+++ b/src/ferryroad/coordination/membership/news_queue.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// News still to be spread: each piece is sent a bounded number of times, the least sent first.
+/// Updates that are still to be sent. Each update is sent a bounded number of times, the least sent
+/// first.
 #pragma once
 
 #include <cstddef>
@@ -11,17 +12,17 @@
 
 namespace ferryroad::coordination::membership {
 
-/// Holds the names of what changed; the content is looked up as it is sent, so that the newest
-/// state goes out. Not thread-safe.
-class news_queue {
+/// Holds the subjects that changed. Their content is looked up when they are sent, so that the
+/// newest state is sent. Not thread-safe.
+class update_queue {
   public:
-    /// Starts over the transmissions of `subject`.
+    /// Adds `subject`, or resets its number of transmissions.
     void add(const std::string& subject);
     void remove(const std::string& subject);
-    /// Takes up to `count` subjects, the least sent first, and counts one transmission each;
-    /// a subject sent `limit` times leaves the queue.
+    /// Selects up to `count` subjects, the least sent first, and counts one transmission of each. A
+    /// subject sent `limit` times leaves the queue.
     std::vector<std::string> take(std::size_t count, std::uint32_t limit);
-    /// Counts one transmission of every subject: a receiver is known to have them all.
+    /// Counts one transmission of every subject, because a receiver is known to have all of them.
     void credit(std::uint32_t limit);
     bool empty() const { return order_.empty(); }
     std::size_t size() const { return order_.size(); }
--- a/src/ferryroad/coordination/quota/equal_shares.cpp
+++ b/src/ferryroad/coordination/quota/equal_shares.cpp
@@ -4,15 +4,15 @@
 
 namespace {
 
-/// What a part that was not used before may grant at once, in seconds at its rate.
-constexpr double first_seconds = 0.1;
+/// What a new share may grant at once, in seconds at its rate.
+constexpr double initial_burst_seconds = 0.1;
 
 }  // namespace
 
 quota_verdict equal_shares::decide(const quota_ask& ask, std::size_t routers,
                                    base::monotonic_time now) {
     const double part = 1.0 / static_cast<double>(routers);
-    const double first_level = ask.limit.per_second * part * first_seconds;
+    const double first_level = ask.limit.per_second * part * initial_burst_seconds;
     const share fresh{ask.limit, part, quota_bucket(first_level, now)};
     share& own = m_shares.try_emplace(ask.tenant, fresh).first->second;
     own.bucket.advance(own.limit, own.part, now);
@@ -21,7 +21,7 @@
     quota_verdict verdict;
     verdict.granted = own.bucket.take(ask.amount);
     if (!verdict.granted) {
-        verdict.retry_after = own.bucket.time_until_open(own.limit, own.part);
+        verdict.retry_after = own.bucket.time_until_available(own.limit, own.part);
     }
     return verdict;
 }
--- a/src/ferryroad/coordination/quota/equal_shares.hpp
+++ b/src/ferryroad/coordination/quota/equal_shares.hpp
@@ -1,7 +1,8 @@
 /// @file
-/// An equal part of each tenant's limit, kept by a router for itself: what holds without asking
-/// anyone. It follows no demand, so that it refuses below the limit where requests come in lumps.
-/// A part begins almost empty: what was granted elsewhere a moment ago isn't known.
+/// Fallback limiter of a single router: it enforces an equal share of each tenant's limit without
+/// asking another router. The share does not follow demand, so it refuses requests below the limit
+/// when they arrive unevenly. A new share starts almost empty, because what other routers granted a
+/// moment ago is not known.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -14,13 +15,15 @@
 
 namespace ferryroad::coordination::quota {
 
-/// Pure: (state, ask, now) to a verdict. Not thread-safe.
+/// Pure: the verdict depends only on the state, the ask and the time. Not thread-safe.
 class equal_shares {
   public:
-    /// @param ask with a limit above 0. @param routers that keep a part each, at least 1.
+    /// @param ask must have a limit above 0.
+    /// @param routers number of routers that share the limit, at least 1.
     quota_verdict decide(const quota_ask& ask, std::size_t routers, base::monotonic_time now);
-    /// Forgets tenants whose part is whole again. Called now and then.
+    /// Removes tenants whose share is full again. Must be called periodically.
     void reclaim(base::monotonic_time now);
+    /// @return number of tenants with a share.
     std::size_t size() const { return m_shares.size(); }
 
   private:
--- a/src/ferryroad/coordination/quota/quota_bucket.cpp
+++ b/src/ferryroad/coordination/quota/quota_bucket.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Burst of a limit that declares none, as a part of a second at its rate: without any, requests
-/// that come together would be refused below the rate.
+/// Burst of a limit that declares none, in seconds at its rate. Without a burst, requests that
+/// arrive together would be refused below the rate.
 constexpr double least_burst_seconds = 0.1;
 
 }  // namespace
@@ -30,7 +30,7 @@
     return true;
 }
 
-base::duration quota_bucket::time_until_open(const rate_limit& limit, double part) const {
+base::duration quota_bucket::time_until_available(const rate_limit& limit, double part) const {
     return base::from_seconds(std::max(0.0, -m_level) / (limit.per_second * part));
 }
 
--- a/src/ferryroad/coordination/quota/quota_bucket.hpp
+++ b/src/ferryroad/coordination/quota/quota_bucket.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Rate with a burst, which a request may overdraw: one that counts more than the whole burst is
-/// served, too, and those after it wait until the debt is paid.
+/// Token bucket that may be overdrawn: a request that costs more than the whole burst is still
+/// granted, and later requests are refused until the debt is paid.
 #pragma once
 
 #include "ferryroad/base/time.hpp"
@@ -8,19 +8,22 @@
 
 namespace ferryroad::coordination::quota {
 
-/// A part of a limit, kept by one router. Not thread-safe.
+/// Token bucket for a router's part of a limit. Not thread-safe.
 class quota_bucket {
   public:
-    /// @param level what may be spent at once, bounded by the part's burst.
+    /// @param level initial level, bounded by the burst of the part.
     quota_bucket(double level, base::monotonic_time now) : m_level(level), m_counted_at(now) {}
 
-    /// Counts the time since the last call at the part of the limit that held.
-    /// @param part of the limit that is kept here, from 0 to 1.
+    /// Refills the bucket for the time since the last call, at the given part of the rate.
+    /// @param part fraction of the limit enforced here, from 0 to 1.
     void advance(const rate_limit& limit, double part, base::monotonic_time now);
-    /// @return whether `amount` was taken: something was left. Call `advance` before.
+    /// Takes `amount` if the level is above 0. `advance` must be called before.
+    /// @return whether `amount` was taken.
     bool take(double amount);
-    /// @return time until something is left, at a part of the limit above 0.
-    base::duration time_until_open(const rate_limit& limit, double part) const;
+    /// @param part fraction of the limit enforced here, above 0.
+    /// @return the time until the level is no longer below 0.
+    base::duration time_until_available(const rate_limit& limit, double part) const;
+    /// @return what may be spent now; negative while in debt.
     double level() const { return m_level; }
 
   private:
@@ -28,7 +31,7 @@
     base::monotonic_time m_counted_at;
 };
 
-/// @return the most that may be spent at once of a whole limit.
+/// @return the capacity of a bucket that enforces the whole limit.
 double capacity_of(const rate_limit& limit);
 
 }  // namespace ferryroad::coordination::quota
--- a/src/ferryroad/coordination/quota/quota_homes.cpp
+++ b/src/ferryroad/coordination/quota/quota_homes.cpp
@@ -9,7 +9,7 @@
 
 void quota_homes::declare(std::vector<base::router_name> present) {
     m_present = std::move(present);
-    std::erase_if(m_silences, [this](const auto& entry) {
+    std::erase_if(m_exclusions, [this](const auto& entry) {
         return std::find(m_present.begin(), m_present.end(), entry.first) == m_present.end();
     });
 }
@@ -25,7 +25,7 @@
     const base::router_name* best = nullptr;
     std::uint64_t best_score = 0;
     for (const base::router_name& name : m_present) {
-        if (is_passed_over(name, now)) {
+        if (is_excluded(name, now)) {
             continue;
         }
         const std::uint64_t score = base::rendezvous_score(key, name.value);
@@ -38,18 +38,18 @@
 }
 
 void quota_homes::silent(const base::router_name& home, base::monotonic_time now) {
-    silence& one = m_silences[home];
-    ++one.asks;
-    if (one.asks >= m_tunables.silent_asks) {
-        one.passed_over =
-            std::clamp(2 * one.passed_over, m_tunables.passed_over, m_tunables.longest_passed_over);
-        one.until = now + one.passed_over;
+    exclusion_state& one = m_exclusions[home];
+    ++one.unanswered_asks;
+    if (one.unanswered_asks >= m_tunables.silent_asks) {
+        one.last_exclusion = std::clamp(2 * one.last_exclusion, m_tunables.first_exclusion,
+                                         m_tunables.longest_exclusion);
+        one.excluded_until = now + one.last_exclusion;
     }
 }
 
-bool quota_homes::is_passed_over(const base::router_name& home, base::monotonic_time now) const {
-    const auto found = m_silences.find(home);
-    return found != m_silences.end() && now < found->second.until;
+bool quota_homes::is_excluded(const base::router_name& home, base::monotonic_time now) const {
+    const auto found = m_exclusions.find(home);
+    return found != m_exclusions.end() && now < found->second.excluded_until;
 }
 
 }  // namespace ferryroad::coordination::quota
--- a/src/ferryroad/coordination/quota/quota_homes.hpp
+++ b/src/ferryroad/coordination/quota/quota_homes.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// Which router counts for a tenant: all reckon the same one from the list of routers, without
-/// talking. One that doesn't answer is passed over for a moment.
+/// Chooses the home router of each tenant, which counts the tenant's requests for all routers.
+/// Every router computes the same home from the list of routers, without communication. A router
+/// that doesn't answer is excluded for a while.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -15,48 +16,51 @@
 
 namespace ferryroad::coordination::quota {
 
+/// Settings of `quota_homes`.
 struct homes_tunables {
-    /// Asks in a row without an answer, after which a router is passed over: datagrams are lost
-    /// now and then, and two routers that count for a tenant at once may grant too much.
+    /// Number of consecutive asks without an answer after which a router is excluded. Single
+    /// datagrams do get lost, and two home routers for one tenant at the same time may grant too
+    /// much.
     std::uint32_t silent_asks = 3;
-    /// How long it is passed over at first: about as long as a process takes to start again.
-    base::duration passed_over = std::chrono::seconds(2);
-    /// Twice as long for each further silence, up to this.
-    base::duration longest_passed_over = std::chrono::seconds(16);
+    /// First exclusion of a router: about the time a process takes to restart.
+    base::duration first_exclusion = std::chrono::seconds(2);
+    /// The exclusion doubles each time the router doesn't answer again, up to this.
+    base::duration longest_exclusion = std::chrono::seconds(16);
 };
 
-/// Not thread-safe.
+/// Chooses home routers by rendezvous hashing. Not thread-safe.
 class quota_homes {
   public:
     explicit quota_homes(homes_tunables tunables = {}) : m_tunables(tunables) {}
 
-    /// Takes the whole list of routers that are present, the asking one among them.
+    /// Sets the list of routers that are present, including the one that asks.
     void declare(std::vector<base::router_name> present);
-    /// @return the router to ask for the tenant; nothing where all are passed over.
+    /// @return the router to ask for the tenant, or nothing if all are excluded.
     std::optional<base::router_name> home_of(const base::tenant_name& tenant,
                                              base::monotonic_time now) const;
-    /// The same for anything else that one router does for all. @param subject names it.
+    /// The same for any other task that one router does for all.
+    /// @param subject identifies the task.
     std::optional<base::router_name> home_for(std::string_view subject,
                                               base::monotonic_time now) const;
-    /// An ask was answered.
-    void answered(const base::router_name& home) { m_silences.erase(home); }
-    /// An ask was not answered in time.
+    /// The router answered an ask.
+    void answered(const base::router_name& home) { m_exclusions.erase(home); }
+    /// The router did not answer an ask in time.
     void silent(const base::router_name& home, base::monotonic_time now);
-    /// @return routers present.
+    /// @return number of routers present.
     std::size_t size() const { return m_present.size(); }
 
   private:
-    struct silence {
-        std::uint32_t asks = 0;
-        base::duration passed_over{};  ///< As long as it was last.
-        base::monotonic_time until{};
+    struct exclusion_state {
+        std::uint32_t unanswered_asks = 0;
+        base::duration last_exclusion{};  ///< Length of the last exclusion.
+        base::monotonic_time excluded_until{};
     };
 
-    bool is_passed_over(const base::router_name& home, base::monotonic_time now) const;
+    bool is_excluded(const base::router_name& home, base::monotonic_time now) const;
 
     homes_tunables m_tunables;
     std::vector<base::router_name> m_present;
-    std::map<base::router_name, silence> m_silences;
+    std::map<base::router_name, exclusion_state> m_exclusions;
 };
 
 }  // namespace ferryroad::coordination::quota
--- a/src/ferryroad/coordination/quota/quota_ledger.hpp
+++ b/src/ferryroad/coordination/quota/quota_ledger.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// Counts what tenants are granted, for all routers that ask here. Each router that asks brings
-/// an equal part of the limit with it: while routers ask different ledgers (they see each other
-/// differently, or are cut from each other), each ledger grants only the parts of those that ask
-/// it, so that all together stay near the limit without any agreement.
+/// Counts what tenants are granted, for all routers that ask this ledger. Each asking router
+/// contributes an equal part of the limit. While routers ask different ledgers (because their
+/// member lists differ or the network is partitioned), each ledger grants only the parts of the
+/// routers that ask it, so that all ledgers together stay near the limit without agreement.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -17,78 +17,87 @@
 
 namespace ferryroad::coordination::quota {
 
+/// Settings of `quota_ledger`.
 struct ledger_tunables {
-    /// A router that asked before is missed once it is silent for so many times its mean pause:
-    /// where requests come at random, one in 150 pauses is that long.
-    double missed_pauses = 5;
-    /// And not before: pauses of busy routers vary.
-    base::duration least_missed = std::chrono::seconds(1);
-    /// The same, where it asked only once.
-    base::duration missed_after_one = std::chrono::seconds(5);
-    /// Least weight of the newest pause in the mean; the first ones all weigh the same.
-    double pause_weight = 0.1;
-    /// How long a silent router's part is kept from the others: a cut lasts longer than a kill.
-    base::duration remembered = std::chrono::seconds(60);
-    /// How long what other ledgers counted is relied on.
+    /// A router that asked before counts as missing once it has been silent for this many times its
+    /// mean interval between asks. If requests arrive at random, one interval in 150 is that long.
+    double missing_after_intervals = 5;
+    /// Lower limit of that time, because the intervals of busy routers vary.
+    base::duration min_missing_after = std::chrono::seconds(1);
+    /// The same time for a router that asked only once.
+    base::duration missing_after_one_ask = std::chrono::seconds(5);
+    /// Minimum weight of the newest interval in the mean; the first intervals all have equal
+    /// weight.
+    double interval_weight = 0.1;
+    /// How long the part of a missing router is withheld from the others: a network partition lasts
+    /// longer than a restart.
+    base::duration asker_retention = std::chrono::seconds(60);
+    /// How long the number of routers counted by another ledger is relied on.
     base::duration told_for = std::chrono::seconds(30);
-    /// What a ledger that takes over may grant at once, in seconds at the rate: the one before
-    /// may have granted the burst a moment ago.
+    /// What a ledger that takes over a tenant may grant at once, in seconds at the rate: the
+    /// previous ledger may have granted the burst a moment ago.
     double takeover_seconds = 0.1;
-    /// So long after its start a process can't know what others granted just before, nor which
-    /// routers there are: it grants no burst, and only the parts of those that ask it.
-    base::duration young_for = std::chrono::seconds(4);
-    /// Those refused come back one after the other within so long of the next grant. A longer
-    /// line is longer than will be served, as new requests go on coming: whoever is told to wait
-    /// for its end is late and as likely refused again as who comes back at once.
-    base::duration longest_line = std::chrono::milliseconds(500);
-    /// No caller is told to come back sooner, or much later than a caller waits.
-    base::duration shortest_return = std::chrono::milliseconds(50);
-    base::duration longest_return = std::chrono::seconds(10);
+    /// For this long after its start, a process can't know what other ledgers granted just before,
+    /// nor which routers exist. It then grants no burst, and only the parts of the routers that ask
+    /// it.
+    base::duration startup_period = std::chrono::seconds(4);
+    /// Refused requests are told to retry one after the other, at most this long after the next
+    /// possible grant. A longer queue would never be served, because new requests keep arriving: a
+    /// caller told to wait for its end would be late and as likely to be refused again as one that
+    /// retries at once.
+    base::duration longest_retry_queue = std::chrono::milliseconds(500);
+    /// Limits of the retry delay. A delay much longer than callers wait would be useless.
+    base::duration shortest_retry_after = std::chrono::milliseconds(50);
+    base::duration longest_retry_after = std::chrono::seconds(10);
 };
 
-/// Pure: (state, ask, now) to a verdict. Not thread-safe.
+/// Pure: the verdict depends only on the state, the ask and the time. Not thread-safe.
 class quota_ledger {
   public:
-    /// @param started when this process began.
+    /// @param started when this process started.
     explicit quota_ledger(base::monotonic_time started, ledger_tunables tunables = {})
-        : m_tunables(tunables), m_grown_at(started + tunables.young_for) {}
+        : m_tunables(tunables), m_startup_until(started + tunables.startup_period) {}
 
     const ledger_tunables& tunables() const { return m_tunables; }
-    /// @param routers that there are, as far as is known; at least 1.
+    /// @param routers number of routers that exist, as far as is known; at least 1.
     void expect_routers(std::size_t routers) { m_routers = routers; }
 
-    /// @param ask with a limit above 0. @return whether the amount was counted and granted.
+    /// @param ask must have a limit above 0.
+    /// @return whether the amount was counted and granted.
     quota_verdict decide(const base::router_name& asker, const quota_ask& ask,
                          base::monotonic_time now);
-    /// @return tenants counted here.
+    /// @return number of tenants counted here.
     std::size_t size() const { return m_accounts.size(); }
-    /// Forgets tenants for whom nobody asked for long. Called now and then.
+    /// Removes tenants that no router has asked for during `asker_retention`. Must be called
+    /// periodically.
     void reclaim(base::monotonic_time now);
 
   private:
+    /// Recent asks of one router for one tenant.
     struct asker_history {
         base::monotonic_time asked_at{};
-        std::uint32_t pauses = 0;
-        double mean_pause = 0;  ///< Seconds.
+        std::uint32_t intervals = 0;
+        double mean_interval = 0;  ///< In seconds.
     };
     struct account {
         rate_limit limit;
         quota_bucket bucket;
         std::map<base::router_name, asker_history> askers;
-        std::uint32_t told_askers = 0;
-        base::monotonic_time told_at{};
-        base::monotonic_time next_return{};  ///< Whoever is refused next comes back then.
+        std::uint32_t reported_askers = 0;
+        base::monotonic_time reported_at{};
+        base::monotonic_time next_retry{};  ///< When the next refused request is to retry.
     };
 
     account& account_of(const quota_ask& ask, base::monotonic_time now);
-    void note_asker(account& of, const base::router_name& asker, base::monotonic_time now) const;
-    bool is_missed(const asker_history& one, base::monotonic_time now) const;
-    double part_of(account& of, base::monotonic_time now) const;
-    base::duration return_in(account& of, const quota_ask& ask, double part,
-                             base::monotonic_time now) const;
+    void record_ask(account& tenant_account, const base::router_name& asker,
+                    base::monotonic_time now) const;
+    bool is_missing(const asker_history& history, base::monotonic_time now) const;
+    double active_part(account& tenant_account, base::monotonic_time now) const;
+    base::duration schedule_retry(account& tenant_account, const quota_ask& ask, double part,
+                                  base::monotonic_time now) const;
 
     ledger_tunables m_tunables;
-    base::monotonic_time m_grown_at;
+    base::monotonic_time m_startup_until;
     std::size_t m_routers = 1;
     std::unordered_map<base::tenant_name, account> m_accounts;
 };
--- a/src/ferryroad/coordination/quota/types.hpp
+++ b/src/ferryroad/coordination/quota/types.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What routers ask and answer about a tenant's limit that holds over all of them together.
+/// Messages between routers about the rate limit of a tenant, which holds for all routers together.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -9,30 +9,35 @@
 
 namespace ferryroad::coordination::quota {
 
-/// A tenant's limit over all routers, in units of its operator's choice (requests, tokens).
+/// Rate limit of a tenant over all routers, in units that its operator chooses (requests or
+/// tokens).
 struct rate_limit {
-    base::revision revision;  ///< Of the configuration that declares it; the highest is in force.
-    double per_second = 0;    ///< Above 0.
-    double burst = 0;         ///< Beyond the rate, at one moment; 0: a small part of a second.
+    /// Configuration revision that declares the limit; the highest is in force.
+    base::revision revision;
+    double per_second = 0;  ///< Units per second; above 0.
+    double burst = 0;  ///< Units allowed at once beyond the rate; 0 stands for a small fraction of
+                       ///< a second at the rate.
 
     friend bool operator==(const rate_limit&, const rate_limit&) = default;
 };
 
-/// One request's wish to be counted, to the router that counts for its tenant.
+/// Asks the home router of a tenant to count one request.
 struct quota_ask {
     base::tenant_name tenant;
-    double amount = 0;  ///< What the request counts.
-    rate_limit limit;   ///< As the asking router knows it.
-    /// Routers that ask for the tenant, as the last router that counted said; 0: not known.
+    double amount = 0;  ///< Cost of the request.
+    rate_limit limit;   ///< Limit as known to the asking router.
+    /// Number of routers that ask for the tenant, as last reported by a ledger; 0 if not known.
     std::uint32_t known_askers = 0;
 
     friend bool operator==(const quota_ask&, const quota_ask&) = default;
 };
 
+/// Answer to an ask.
 struct quota_verdict {
     bool granted = false;
-    base::duration retry_after{};  ///< When to come back; 0 where granted.
-    std::uint32_t askers = 0;      ///< Routers that asked here for the tenant of late.
+    base::duration retry_after{};  ///< Time to wait before a retry; 0 if granted.
+    /// Number of routers that recently asked this ledger for the tenant.
+    std::uint32_t askers = 0;
 
     friend bool operator==(const quota_verdict&, const quota_verdict&) = default;
 };
--- a/src/ferryroad/coordination/release/types.hpp
+++ b/src/ferryroad/coordination/release/types.hpp
@@ -30,8 +30,9 @@
     friend bool operator==(const release_order&, const release_order&) = default;
 };
 
+/// A small share of requests may go to the target version, under grants.
 enum class release_phase : std::uint8_t {
-    trial,       ///< A small share of requests may go to the target version, under grants.
+    trial,
     promoted,    ///< All requests go there, while those at old engines end.
     completed,   ///< Old engines may stop at any moment.
     rolled_back  ///< Nothing goes there.
--- a/src/ferryroad/coordination/release/version_gate.hpp
+++ b/src/ferryroad/coordination/release/version_gate.hpp
@@ -17,8 +17,9 @@
 };
 
 /// What requests an engine may get.
+/// As any engine of its pool.
 enum class permission : std::uint8_t {
-    all,     ///< As any engine of its pool.
+    all,
     canary,  ///< Those chosen for the trial.
     none
 };
--- a/test/coordination/membership/failure_detector_test.cpp
+++ b/test/coordination/membership/failure_detector_test.cpp
@@ -1,4 +1,4 @@
-/// One member's side, event by event.
+/// Tests of one member's failure detector, event by event.
 #include "ferryroad/coordination/membership/failure_detector.hpp"
 
 #include <criterion/criterion.h>
@@ -34,7 +34,7 @@
                          {}};
         return detector.on_datagram(message, {"10.0.0.1", 99}, now);
     }
-    /// Ticks on time until `condition` holds for one of the actions.
+    /// Ticks without delay until `condition` holds for one of the actions.
     template <typename Condition>
     void tick_until(Condition condition) {
         bool met = false;
@@ -60,7 +60,8 @@
     return message != nullptr && std::holds_alternative<Probe>(message->probe);
 }
 
-/// What is known of "b", what is heard of it, and what is then held.
+/// What is known of member "b", the update received, and the expected state and incarnation
+/// afterwards.
 struct merge_row {
     const char* what;
     std::optional<member_update> known;
@@ -124,7 +125,7 @@
         cr_assert_eq(test.detector.self().incarnation.value, accused + 1);
         cr_assert(test.detector.self().state == alive);
     }
-    // A former process of this name whose clock was ahead.
+    // A former process with this name whose clock was ahead.
     test.hear({member("self", 7, "a", 5000, alive)});
     cr_assert_eq(test.detector.self().incarnation.value, 5001);
     test.hear({member("self", 7, "a", 4000, dead)});
@@ -218,7 +219,7 @@
             learned.push_back(news->notice);
         }
     }
-    cr_assert_eq(learned.size(), detector_settings{}.most_notices + 1);
+    cr_assert_eq(learned.size(), detector_settings{}.max_notices + 1);
     cr_assert(learned[0] == notice({"engine", 2, false}));
     cr_assert(learned[1] == notice({"engine", 2, true}));
 }
--- a/test/coordination/membership/group_properties_test.cpp
+++ b/test/coordination/membership/group_properties_test.cpp
@@ -1,4 +1,4 @@
-/// What a group of members comes to, under seeded faults in virtual time.
+/// Property tests of a whole group under random faults in virtual time.
 #include "ferryroad/base/random.hpp"
 #include "test/coordination/membership/simulated_group.hpp"
 
@@ -14,9 +14,10 @@
 using namespace ferryroad::coordination::membership::test;
 
 constexpr base::duration settle_limit = 120s;
-/// A member is probed by no other for this many periods with a chance of about exp(-12).
+/// The probability that no other member probes a given member for this many periods is about
+/// exp(-12).
 constexpr int unprobed_periods = 12;
-/// For news to reach everyone.
+/// Time for an update to reach everyone.
 constexpr base::duration spread_limit = 5s;
 
 std::size_t any_size(std::size_t most) {
@@ -26,7 +27,7 @@
     return *rc::gen::arbitrary<std::uint64_t>();
 }
 
-/// Without loss, but with everything reordered and much doubled.
+/// No loss, but heavy reordering and duplication.
 network_faults lossless() {
     network_faults faults;
     faults.duplication = 0.2;
@@ -39,7 +40,7 @@
            group.at(viewer).detector->suspicion_time() + spread_limit;
 }
 
-/// One fault of a random schedule, on any member but the first seed.
+/// Injects a random fault into any member but the first seed.
 void random_fault(simulated_group& group, base::random_source& random) {
     const std::size_t victim = 1 + random.below(group.size() - 1);
     simulated_group::node& node = group.at(victim);
@@ -125,7 +126,8 @@
         simulated_group group(any_size(20), any_seed(), faults);
         group.start_all();
         group.run_for(120s);
-        // Both probes of a period fail rarely; refutation must win then.
+        // Direct and indirect probes rarely fail in the same period; if they do, the refutation
+        // must win.
         RC_ASSERT(group.false_deaths() == 0U);
         group.set_faults({});
         RC_ASSERT(group.run_until([&] { return group.converged(); }, settle_limit).has_value());
--- a/test/coordination/membership/scale_test.cpp
+++ b/test/coordination/membership/scale_test.cpp
@@ -1,5 +1,5 @@
-/// 400 members in one group: time to converge and bytes a second a member, as encoded by the
-/// router's own codec. The figures in docs/design/0040-membership.md are what this prints.
+/// Time to converge and bytes per second and member in groups of up to 400 members, with the
+/// router's own codec. The figures in docs/design/0040-membership.md are the output of this test.
 #include "ferryroad/peer/codec.hpp"
 #include "test/coordination/membership/simulated_group.hpp"
 
@@ -14,13 +14,13 @@
 using namespace ferryroad::coordination::membership;
 using namespace ferryroad::coordination::membership::test;
 
-/// IPv4 and UDP headers.
+/// Size of the IPv4 and UDP headers, in bytes.
 constexpr double datagram_overhead = 28;
-/// The control budget of a node, bytes a second.
+/// Bandwidth budget of a node for control traffic, in bytes per second.
 constexpr double budget = 4096;
 constexpr base::duration limit = 120s;
 
-/// Bytes sent since the last report.
+/// Counts the bytes sent since the last report.
 struct meter {
     simulated_group& group;
     double datagram_bytes = 0;
@@ -43,7 +43,7 @@
         };
     }
 
-    /// @return bytes sent a second a member.
+    /// @return bytes sent per second and member.
     double report(const char* what) {
         const double seconds = base::to_seconds(group.now() - since);
         const double share = seconds * static_cast<double>(group.size());
--- a/test/coordination/membership/simulated_group.hpp
+++ b/test/coordination/membership/simulated_group.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// A group of failure detectors on a simulated network in virtual time: loss, duplication,
-/// reorder, cuts, pauses, crashes. The same seed gives the same run.
+/// A group of failure detectors on a simulated network in virtual time, with loss, duplication,
+/// reordering, partitions, pauses and crashes. Equal seeds give equal runs.
 #pragma once
 
 #include "ferryroad/base/random.hpp"
@@ -25,7 +25,7 @@
     double loss = 0;
     double duplication = 0;
     base::duration shortest_delay = 1ms;
-    base::duration longest_delay = 40ms;  ///< Reorders whatever is sent within it.
+    base::duration longest_delay = 40ms;  ///< Messages sent within this time may be reordered.
 };
 
 class simulated_group {
@@ -35,12 +35,12 @@
         member_update identity;
         bool running = false;
         bool paused = false;
-        int side = 0;                             ///< Only nodes of one side reach each other.
-        std::vector<std::function<void()>> held;  ///< What came during the pause.
-        std::uint64_t life = 0;
+        int side = 0;  ///< Only nodes on the same side of a partition reach each other.
+        std::vector<std::function<void()>> held;  ///< Messages received during the pause.
+        std::uint64_t process = 0;
         std::vector<notice> notices;
         std::uint64_t highest_revision = 0;
-        std::uint64_t deaths_declared = 0;  ///< Members that became dead in its view.
+        std::uint64_t deaths_declared = 0;  ///< Number of members that became dead in its view.
     };
 
     simulated_group(std::size_t size, std::uint64_t seed, network_faults faults = {},
@@ -63,14 +63,15 @@
         return {"10.0.0.1", static_cast<std::uint16_t>(1000 + index)};
     }
 
-    /// Starts a process of this name under a new incarnation; the first three are the seeds.
+    /// Starts a process with this node's name and a new incarnation. The first three nodes are the
+    /// seeds.
     void start(std::size_t index) {
         node& started = nodes_[index];
         started.identity.incarnation.value += 1000;
         started.running = true;
         started.paused = false;
         started.held.clear();
-        ++started.life;
+        ++started.process;
         started.detector = std::make_unique<failure_detector>(
             settings_, started.identity,
             std::vector<base::endpoint>{address_of(0), address_of(1), address_of(2)}, random_,
@@ -84,7 +85,7 @@
     }
     void crash(std::size_t index) {
         nodes_[index].running = false;
-        ++nodes_[index].life;
+        ++nodes_[index].process;
     }
     void depart(std::size_t index) {
         perform(index, nodes_[index].detector->depart());
@@ -93,21 +94,21 @@
     void pause(std::size_t index) { nodes_[index].paused = true; }
     void resume(std::size_t index) {
         nodes_[index].paused = false;
-        // The timer that is due comes first, as in an event loop after SIGCONT.
-        tick(index, nodes_[index].life);
+        // A due timer runs before the received messages, as in an event loop after SIGCONT.
+        tick(index, nodes_[index].process);
         const auto held = std::move(nodes_[index].held);
         nodes_[index].held.clear();
         for (const auto& deliver : held) {
             deliver();
         }
     }
-    /// Puts nodes [0, count) on one side of a cut and the others on the other; 0 heals.
+    /// Separates nodes [0, count) from the others; 0 heals the partition.
     void cut(std::size_t count) {
         for (std::size_t index = 0; index < nodes_.size(); ++index) {
             nodes_[index].side = index < count ? 1 : 0;
         }
     }
-    /// No datagram passes between these two, either way.
+    /// Drops all datagrams between these two nodes, in both directions.
     void cut_pair(std::size_t left, std::size_t right) { cut_pair_ = std::pair(left, right); }
 
     void run_for(base::duration period) {
@@ -117,8 +118,8 @@
         }
         now_ = end;
     }
-    /// @return how long it took until the condition held, or nothing by `limit`. It is looked
-    /// at twice a second.
+    /// @return the time until the condition held, or nothing if it did not hold within `limit`. The
+    /// condition is checked twice a second.
     std::optional<base::duration> run_until(const std::function<bool()>& condition,
                                             base::duration limit) {
         const base::monotonic_time start = now_;
@@ -134,20 +135,20 @@
     node& at(std::size_t index) { return nodes_[index]; }
     std::size_t size() const { return nodes_.size(); }
     base::monotonic_time now() const { return now_; }
-    /// Sees every datagram as it is sent.
+    /// Called for every datagram sent.
     std::function<void(std::size_t sender, const datagram&)> on_send = [](auto, const auto&) {};
 
-    /// Sees every list asked for, as it is answered.
+    /// Called for every member list sent as an answer.
     std::function<void(std::size_t caller, std::size_t answerer, const join_answer&)> on_list =
         [](auto, auto, const auto&) {};
 
-    /// @return `viewer`'s state of `subject`; nothing where unknown.
+    /// @return the state of `subject` as seen by `viewer`, or nothing if unknown.
     std::optional<member_state> view(std::size_t viewer, std::size_t subject) const {
         const member_record* record = nodes_[viewer].detector->members().find(name_of(subject));
         return record ? std::optional(record->update.state) : std::nullopt;
     }
-    /// @return whether every running node sees exactly the running ones as live, in the states
-    /// and under the incarnations that they have.
+    /// @return whether every running node sees exactly the running nodes as live, with their
+    /// current states and incarnations.
     bool converged() const {
         std::uint64_t exact = 0;
         for (const node& each : nodes_) {
@@ -157,7 +158,7 @@
             return !each.running || each.detector->digest() == exact;
         });
     }
-    /// @return whether every running node sees `subject` in that state.
+    /// @return whether every running node sees `subject` in `state`.
     bool all_see(std::size_t subject, member_state state) const {
         for (std::size_t viewer = 0; viewer < nodes_.size(); ++viewer) {
             if (nodes_[viewer].running && viewer != subject && view(viewer, subject) != state) {
@@ -166,7 +167,7 @@
         }
         return true;
     }
-    /// @return how often a running member was declared dead.
+    /// @return the number of times that a running member was declared dead.
     std::uint64_t false_deaths() const { return false_deaths_; }
     void set_faults(network_faults faults) { faults_ = faults; }
     /// Carries out actions as the embedder would.
@@ -181,7 +182,7 @@
             } else if (auto* seen = std::get_if<revision_seen>(&each)) {
                 nodes_[index].highest_revision =
                     std::max(nodes_[index].highest_revision, seen->revision);
-                // As if the configuration was pulled at once.
+                // Simulates an immediate pull of the configuration.
                 nodes_[index].detector->set_revision(seen->revision);
             } else if (auto* changed = std::get_if<member_changed>(&each)) {
                 record_death(index, changed->member);
@@ -218,13 +219,14 @@
         next.run();
     }
     void schedule_tick(std::size_t index) {
-        const std::uint64_t life = nodes_[index].life;
-        schedule(nodes_[index].detector->next_tick(), [this, index, life] { tick(index, life); });
+        const std::uint64_t process = nodes_[index].process;
+        schedule(nodes_[index].detector->next_tick(),
+                 [this, index, process] { tick(index, process); });
     }
-    void tick(std::size_t index, std::uint64_t life) {
+    void tick(std::size_t index, std::uint64_t process) {
         node& ticked = nodes_[index];
-        if (!ticked.running || ticked.life != life || ticked.paused) {
-            return;  // `resume` ticks a paused one.
+        if (!ticked.running || ticked.process != process || ticked.paused) {
+            return;  // A paused node is ticked by `resume`.
         }
         perform(index, ticked.detector->on_tick(now_));
         schedule_tick(index);
@@ -239,12 +241,13 @@
         return faults_.shortest_delay +
                base::duration(random_.below(static_cast<std::uint64_t>(spread) + 1));
     }
-    /// Runs at the receiver, or is held while it is paused; nothing reaches another life.
+    /// Runs `handle` at the receiver after a delay, or holds it while the receiver is paused; a
+    /// message never reaches a later process of the same node.
     void deliver(std::size_t to, std::function<void(node&)> handle) {
-        const std::uint64_t life = nodes_[to].life;
-        schedule(now_ + delay(), [this, to, life, handle = std::move(handle)] {
+        const std::uint64_t process = nodes_[to].process;
+        schedule(now_ + delay(), [this, to, process, handle = std::move(handle)] {
             node& receiver = nodes_[to];
-            if (!receiver.running || receiver.life != life) {
+            if (!receiver.running || receiver.process != process) {
                 return;
             }
             if (receiver.paused) {
--- a/test/coordination/quota/quota_homes_test.cpp
+++ b/test/coordination/quota/quota_homes_test.cpp
@@ -1,4 +1,4 @@
-/// Which router is asked.
+/// Tests of the choice of home routers and of the exclusion of routers that don't answer.
 #include "ferryroad/coordination/quota/quota_homes.hpp"
 
 #include <criterion/criterion.h>
@@ -23,7 +23,7 @@
     return names;
 }
 
-void fall_silent(quota_homes& homes, const base::router_name& home, base::monotonic_time now) {
+void miss_three_asks(quota_homes& homes, const base::router_name& home, base::monotonic_time now) {
     for (int ask = 0; ask < 3; ++ask) {
         homes.silent(home, now);
     }
@@ -58,7 +58,7 @@
     quota_homes homes;
     cr_assert_not(homes.home_of(tenant, start).has_value());
     homes.declare(routers(1));
-    fall_silent(homes, routers(1)[0], start);
+    miss_three_asks(homes, routers(1)[0], start);
     cr_assert_not(homes.home_of(tenant, start).has_value());
 }
 
@@ -78,7 +78,7 @@
     quota_homes homes;
     homes.declare(routers(5));
     const auto home = *homes.home_of(tenant, start);
-    fall_silent(homes, home, start);
+    miss_three_asks(homes, home, start);
     homes.silent(home, start + 2s);
     cr_assert_neq(*homes.home_of(tenant, start + 5s), home);
     cr_assert(homes.home_of(tenant, start + 6s) == home);
@@ -91,7 +91,7 @@
     quota_homes homes;
     homes.declare(routers(5));
     const auto home = *homes.home_of(tenant, start);
-    fall_silent(homes, home, start);
+    miss_three_asks(homes, home, start);
     homes.declare({});
     homes.declare(routers(5));
     cr_assert(homes.home_of(tenant, start) == home);
--- a/test/coordination/quota/quota_ledger_test.cpp
+++ b/test/coordination/quota/quota_ledger_test.cpp
@@ -1,4 +1,4 @@
-/// What one router grants, alone and for others.
+/// Tests of what one ledger grants to one or several routers, and of the fallback shares.
 #include "ferryroad/coordination/quota/quota_ledger.hpp"
 
 #include "ferryroad/base/random.hpp"
@@ -32,15 +32,15 @@
     return base::router_name("r" + std::to_string(number));
 }
 
-/// A ledger that has run for long.
-quota_ledger grown() {
+/// @return a ledger past its startup period.
+quota_ledger ledger_after_startup() {
     return quota_ledger(at(-1min));
 }
 
 }  // namespace
 
 Test(quota_ledger, grants_the_burst_and_then_the_rate) {
-    quota_ledger ledger = grown();
+    quota_ledger ledger = ledger_after_startup();
     cr_assert(ledger.decide(first, ask_for(500), at(0s)).granted);
     cr_assert_not(ledger.decide(first, ask_for(1), at(0s)).granted);
     cr_assert(ledger.decide(first, ask_for(90), at(100ms)).granted);
@@ -49,7 +49,7 @@
 }
 
 Test(quota_ledger, a_request_larger_than_the_burst_is_granted_and_paid_for) {
-    quota_ledger ledger = grown();
+    quota_ledger ledger = ledger_after_startup();
     cr_assert(ledger.decide(first, ask_for(1500), at(0s)).granted);
     const auto refused = ledger.decide(first, ask_for(1), at(0s));
     cr_assert_not(refused.granted);
@@ -58,7 +58,7 @@
 }
 
 Test(quota_ledger, those_refused_come_back_one_after_the_other) {
-    quota_ledger ledger = grown();
+    quota_ledger ledger = ledger_after_startup();
     ledger.decide(first, ask_for(600), at(0s));
     const auto one = ledger.decide(first, ask_for(400), at(0s));
     const auto other = ledger.decide(first, ask_for(400), at(0s));
@@ -66,10 +66,9 @@
     cr_assert(other.retry_after == 500ms, "the first one's 400 are left by then");
 }
 
-/// A tenant's limit is lowered to a third of what it asks for, for good. Its callers come back
-/// once, when they were told to, if that is within the 5 s that they wait at most. What is granted
-/// is the rate, whoever gets it: of the callers that are answered, none should have waited for
-/// seconds.
+/// The limit of a tenant is permanently lowered to a third of its load. Each caller retries once
+/// after the delay that it was told, or after 5 s if the delay is longer. The full rate must be
+/// granted, and no caller that is granted may have waited for seconds.
 Test(quota_ledger, who_comes_back_below_a_lowered_limit_is_answered_soon_or_not_at_all) {
     struct coming {
         base::duration at{};
@@ -81,9 +80,9 @@
     base::seeded_random random(1);
     for (base::duration time{}; time < 30s;
          time += std::chrono::microseconds(random.below(20000))) {
-        callers.push({time, time, true});  // 3,000 a second, where 1,000 are allowed.
+        callers.push({time, time, true});  // 3,000 a second, of which 1,000 are allowed.
     }
-    quota_ledger ledger = grown();
+    quota_ledger ledger = ledger_after_startup();
     double granted = 0;
     base::duration longest{};
     while (!callers.empty()) {
@@ -103,7 +102,7 @@
 }
 
 Test(quota_ledger, nobody_is_told_to_come_back_later_than_callers_wait) {
-    quota_ledger ledger = grown();
+    quota_ledger ledger = ledger_after_startup();
     for (int index = 0; index < 1000; ++index) {
         const auto verdict = ledger.decide(first, ask_for(400), at(0s));
         cr_assert(verdict.retry_after <= 10s);
@@ -111,18 +110,18 @@
 }
 
 Test(quota_ledger, the_limit_of_the_newest_configuration_holds) {
-    quota_ledger ledger = grown();
+    quota_ledger ledger = ledger_after_startup();
     ledger.decide(first, ask_for(500), at(0s));
     quota_ask lowered = ask_for(1);
     lowered.limit = {base::revision(2), 10, 5};
     cr_assert_not(ledger.decide(first, lowered, at(0s)).granted);
-    // A router that hasn't heard of it asks by the old limit.
+    // A router that doesn't know the new limit yet asks with the old one.
     cr_assert(ledger.decide(first, ask_for(9), at(1s)).granted);
     cr_assert_not(ledger.decide(first, ask_for(500), at(1s)).granted);
 }
 
 Test(quota_ledger, who_takes_over_grants_no_burst) {
-    quota_ledger ledger = grown();
+    quota_ledger ledger = ledger_after_startup();
     cr_assert(ledger.decide(first, ask_for(100, 1), at(0s)).granted);
     cr_assert_not(ledger.decide(first, ask_for(1, 1), at(0s)).granted);
 }
@@ -131,14 +130,14 @@
     quota_ledger ledger(at(0s));
     ledger.expect_routers(10);
     cr_assert(ledger.decide(first, ask_for(10), at(0s)).granted);
-    // One of ten routers has asked: a tenth of the rate.
+    // One of ten routers has asked, so a tenth of the rate is granted.
     cr_assert(ledger.decide(first, ask_for(100), at(1s)).granted);
     cr_assert_not(ledger.decide(first, ask_for(1), at(1s)).granted);
 }
 
 Test(quota_ledger, the_part_of_those_who_ask_elsewhere_is_not_granted) {
-    quota_ledger ledger = grown();
-    // Half of the ten routers that asked another ledger ask this one.
+    quota_ledger ledger = ledger_after_startup();
+    // Half of the ten routers that used to ask another ledger now ask this one.
     double granted = 0;
     for (int step = 0; step < 1000; ++step) {
         for (int number = 0; number < 5; ++number) {
@@ -151,7 +150,7 @@
 }
 
 Test(quota_ledger, the_part_of_those_who_fall_silent_is_not_granted) {
-    quota_ledger ledger = grown();
+    quota_ledger ledger = ledger_after_startup();
     const auto run = [&](int routers, base::duration from, base::duration to) {
         double granted = 0;
         for (base::duration now = from; now < to; now += 10ms) {
@@ -162,14 +161,14 @@
         return granted;
     };
     run(10, 0s, 5s);
-    run(5, 5s, 7s);  // Until they are missed.
+    run(5, 5s, 7s);  // Until the other five count as missing.
     const double granted = run(5, 7s, 12s);
     cr_assert_lt(granted, 0.55 * 5 * 1000);
     cr_assert_gt(granted, 0.45 * 5 * 1000);
 }
 
 Test(quota_ledger, tells_how_many_ask_and_forgets_tenants_in_time) {
-    quota_ledger ledger = grown();
+    quota_ledger ledger = ledger_after_startup();
     ledger.decide(router(1), ask_for(1), at(0s));
     cr_assert_eq(ledger.decide(router(2), ask_for(1), at(0s)).askers, 2);
     ledger.reclaim(at(30s));
@@ -179,7 +178,7 @@
 }
 
 Test(quota_ledger, a_clock_that_stands_still_grants_nothing_more) {
-    quota_ledger ledger = grown();
+    quota_ledger ledger = ledger_after_startup();
     ledger.decide(first, ask_for(500), at(0s));
     for (int index = 0; index < 100; ++index) {
         cr_assert_not(ledger.decide(first, ask_for(1), at(0s)).granted);
@@ -187,7 +186,7 @@
 }
 
 Test(quota_ledger, a_limit_without_a_burst_serves_its_rate) {
-    quota_ledger ledger = grown();
+    quota_ledger ledger = ledger_after_startup();
     int granted = 0;
     for (int step = 0; step < 100; ++step) {
         quota_ask one = ask_for(10);
--- a/test/coordination/quota/quota_property_test.cpp
+++ b/test/coordination/quota/quota_property_test.cpp
@@ -1,5 +1,5 @@
-/// A fleet of routers counts one tenant in virtual time, under what fails. Judged: what all
-/// together grant in any 8 s, and what they refuse below the limit.
+/// A simulated fleet of routers counts one tenant in virtual time under faults. The tests check how
+/// much all routers together grant in any 8 s, and how much they refuse below the limit.
 #include "ferryroad/base/random.hpp"
 #include "ferryroad/coordination/quota/equal_shares.hpp"
 #include "ferryroad/coordination/quota/quota_homes.hpp"
@@ -35,10 +35,10 @@
             m_routers.push_back(std::make_unique<router>());
         }
         start_all();
-        m_now += 1min;  // Traffic begins long after the processes.
+        m_now += 1min;  // The traffic starts long after the processes.
     }
 
-    /// Runs with requests at `load` times the limit.
+    /// Advances the time by `period` with requests at `load` times the limit.
     void run(base::duration period, double load) {
         const base::monotonic_time end = m_now + period;
         const double each_step = load * rate / request * base::to_seconds(step);
@@ -65,11 +65,12 @@
         }
     }
     void kill(std::size_t index) { m_routers[index]->up = false; }
-    /// Routers of one side don't reach those of the other.
+    /// Partitions the network: the routers below `first_side` can't reach the others. 0 heals the
+    /// partition.
     void split(std::size_t first_side) { m_first_side = first_side; }
     void lose(double share) { m_lost = share; }
 
-    /// @return the most that was granted within any window.
+    /// @return the most that was granted within any window of `window_seconds`.
     double most_granted() const {
         double most = 0;
         double sum = 0;
@@ -158,18 +159,19 @@
     std::uint64_t m_refused = 0;
 };
 
-/// A tenth beyond the rate and the burst of a window, and some requests that were under way.
+/// A tenth more than the rate and the burst allow in one window, plus a few requests that were in
+/// flight.
 constexpr double allowed = (rate * window_seconds + burst) * 1.1 + 10 * request;
 
 constexpr std::size_t sizes[] = {1, 7, 79};
 constexpr std::uint64_t seeds = 5;
 
-/// Plays `day` on fleets of each size, several times.
-void each_fleet(const std::function<void(fleet&, std::size_t size)>& day) {
+/// Runs `scenario` on fleets of each size with several seeds.
+void each_fleet(const std::function<void(fleet&, std::size_t size)>& scenario) {
     for (const std::size_t size : sizes) {
         for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
             fleet routers(size, seed);
-            day(routers, size);
+            scenario(routers, size);
         }
     }
 }
@@ -223,8 +225,8 @@
     });
 }
 
-/// Until those on the other side are missed, each side grants the whole rate; from then on its
-/// part.
+/// Each side grants the whole rate until the routers of the other side count as missing, and only
+/// its part from then on.
 Test(quota_fleet, two_sides_of_a_cut_grant_little_more_than_one) {
     each_fleet([](fleet& routers, std::size_t size) {
         routers.run(10s, 4);
@@ -242,7 +244,7 @@
         routers.run(10s, 0.6);
         routers.split(size / 2);
         routers.run(20s, 0.6);
-        // Until each router has found who counts on its side, it spends its own part.
+        // Until each router has found a home router on its side, it uses its own share.
         cr_assert_leq(routers.refused(), 0.12 * routers.granted());
     });
 }
