--- a/src/ferryroad/coordination/claim/errors.hpp
+++ b/src/ferryroad/coordination/claim/errors.hpp
@@ -6,9 +6,8 @@
 
 namespace ferryroad::coordination::claim {
 
-/// Not a claim record.
 enum class record_error_code {
-    malformed,
+    malformed,       ///< Not a claim record.
     unknown_format,  ///< Written by an incompatible version of this library.
 };
 
--- a/src/ferryroad/coordination/claim/messages.hpp
+++ b/src/ferryroad/coordination/claim/messages.hpp
@@ -33,15 +33,13 @@
 };
 
 /// Reads the row.
-/// Time to wait before the read.
 struct read_row {
-    base::duration delay{};
+    base::duration delay{};  ///< Time to wait before the read.
 };
 
 /// Result of claiming a key or of closing a claim.
-/// This attempt, and no other, may run.
 enum class claim_outcome {
-    granted,
+    granted,        ///< This attempt, and no other, may run.
     finished,       ///< An earlier attempt ran; its outcome is stored.
     unknown,        ///< An earlier attempt may have run; none will run again.
     in_progress,    ///< Another attempt holds the claim.
@@ -70,9 +68,8 @@
 };
 
 /// The row did not have the expected version; nothing was written.
-/// The current row.
 struct write_conflicted {
-    stored_row row;
+    stored_row row;  ///< The current row.
 };
 
 /// No answer arrived; the write may have taken effect, or may still do so.
--- a/src/ferryroad/coordination/claim/opening.hpp
+++ b/src/ferryroad/coordination/claim/opening.hpp
@@ -13,9 +13,8 @@
 namespace ferryroad::coordination::claim {
 
 /// The attempt that claims and the content that it claims the key for.
-/// Never used twice, by any process.
 struct claim_terms {
-    base::attempt_id attempt;
+    base::attempt_id attempt;  ///< Never used twice, by any process.
     holder owner;
     std::string content_digest;
 };
--- a/src/ferryroad/coordination/claim/record.hpp
+++ b/src/ferryroad/coordination/claim/record.hpp
@@ -27,11 +27,10 @@
 };
 
 /// State of a stored claim.
-/// The holder may dispatch the request, or has done so.
 enum class record_state {
-    in_progress,
-    finished,  ///< Ran once; the outcome is stored.
-    unknown    ///< May have run; closed without an outcome.
+    in_progress,  ///< The holder may dispatch the request, or has done so.
+    finished,     ///< Ran once; the outcome is stored.
+    unknown       ///< May have run; closed without an outcome.
 };
 
 /// Outcome of the request; the meaning of its fields is up to the embedder.
--- a/src/ferryroad/coordination/configuration/commit.hpp
+++ b/src/ferryroad/coordination/configuration/commit.hpp
@@ -16,9 +16,8 @@
 namespace ferryroad::coordination::configuration {
 
 /// An operator's request to change the configuration.
-/// Must not be empty.
 struct commit_request {
-    operation_id operation;
+    operation_id operation;  ///< Must not be empty.
     author_name author;
     /// The revision that the change is based on; if the head has another revision, the commit ends
     /// with a conflict. If absent, the change is computed again for whatever revision the head has.
--- a/src/ferryroad/coordination/configuration/replica.hpp
+++ b/src/ferryroad/coordination/configuration/replica.hpp
@@ -15,9 +15,8 @@
 
 /// Answer to a pull: the changes after the requested revision, or a snapshot and the changes after
 /// the snapshot.
-/// Revision of the answering replica.
 struct pull_answer {
-    base::revision head;
+    base::revision head;  ///< Revision of the answering replica.
     std::optional<snapshot> base;
     std::vector<change> changes;
     /// The answering replica has recently confirmed that `head` is the newest revision.
--- a/src/ferryroad/coordination/lease/lease_record.hpp
+++ b/src/ferryroad/coordination/lease/lease_record.hpp
@@ -22,10 +22,9 @@
 
 /// Content of the row. The row is never deleted, because it carries the fencing token from one
 /// holder to the next.
-/// Empty after a release.
 struct lease_record {
-    std::optional<lease_identity> holder;
-    base::fencing_token token;   ///< Increases with each acquisition.
+    std::optional<lease_identity> holder;  ///< Empty after a release.
+    base::fencing_token token;             ///< Increases with each acquisition.
     base::duration duration{};   ///< Lease duration that the holder uses; whole milliseconds.
     std::uint64_t write_id = 0;  ///< Random; lets a process recognize its own write.
     std::uint64_t note = 0;      ///< Note from the holder to the next one; 0 if none.
--- a/src/ferryroad/coordination/lease/messages.hpp
+++ b/src/ferryroad/coordination/lease/messages.hpp
@@ -49,9 +49,8 @@
     row_version version;
 };
 /// The row did not have the expected version; nothing was written.
-/// The current row.
 struct write_conflicted {
-    stored_row row;
+    stored_row row;  ///< The current row.
 };
 /// No answer arrived; the write may have taken effect, or may still do so.
 struct write_lost {};
--- a/src/ferryroad/coordination/membership/member_table.hpp
+++ b/src/ferryroad/coordination/membership/member_table.hpp
@@ -64,8 +64,8 @@
   private:
     void add_live(const base::router_name& name);
     void remove_live(const base::router_name& name);
-    /// Adds the entry's part to the digest and the number of suspects, or removes it if `present`
-    /// is false.
+    /// Adds the entry's part to the digest and the number of suspects; with `present` false,
+    /// removes it.
     void count(const member_update& update, bool present);
 
     base::random_source& random_;
--- a/src/ferryroad/coordination/membership/messages.hpp
+++ b/src/ferryroad/coordination/membership/messages.hpp
@@ -15,9 +15,8 @@
 
 /// State of a member. Within one incarnation a later value replaces an earlier one.
 enum class member_state : std::uint8_t {
-    /// A probe failed; counts as live until the suspicion times out.
     alive,
-    suspect,
+    suspect,  ///< A probe failed; counts as live until the suspicion times out.
     leaving,  ///< A planned stop is under way: the member still answers but takes no new role.
     dead
 };
--- a/src/ferryroad/coordination/release/release_coordinator.hpp
+++ b/src/ferryroad/coordination/release/release_coordinator.hpp
@@ -69,9 +69,8 @@
 using coordinator_action = std::variant<read_record, write_record, tell_status, tell_routers>;
 
 /// What the coordinator knows from outside at a tick.
-/// Present, this one included.
 struct coordinator_view {
-    std::size_t routers = 1;
+    std::size_t routers = 1;  ///< Present, this one included.
     trial_verdict found = trial_verdict::undecided;
     /// What to decide when no time is left.
     trial_verdict at_deadline = trial_verdict::bad;
@@ -119,9 +118,8 @@
         base::monotonic_time at{};
     };
     enum class call : std::uint8_t { none, read, write, status };
-    /// Routers with fresh reports.
     struct touch {
-        std::size_t fresh = 0;
+        std::size_t fresh = 0;      ///< Routers with fresh reports.
         bool most = false;          ///< More than half of those present.
         bool all_switched = false;  ///< All fresh ones send nothing more to replaced engines.
     };
--- a/src/ferryroad/coordination/release/types.hpp
+++ b/src/ferryroad/coordination/release/types.hpp
@@ -30,9 +30,8 @@
     friend bool operator==(const release_order&, const release_order&) = default;
 };
 
-/// A small share of requests may go to the target version, under grants.
 enum class release_phase : std::uint8_t {
-    trial,
+    trial,       ///< A small share of requests may go to the target version, under grants.
     promoted,    ///< All requests go there, while those at old engines end.
     completed,   ///< Old engines may stop at any moment.
     rolled_back  ///< Nothing goes there.
--- a/src/ferryroad/coordination/release/version_gate.hpp
+++ b/src/ferryroad/coordination/release/version_gate.hpp
@@ -17,9 +17,8 @@
 };
 
 /// What requests an engine may get.
-/// As any engine of its pool.
 enum class permission : std::uint8_t {
-    all,
+    all,     ///< As any engine of its pool.
     canary,  ///< Those chosen for the trial.
     none
 };
--- a/src/ferryroad/coordination/rollout/weights_rollout.hpp
+++ b/src/ferryroad/coordination/rollout/weights_rollout.hpp
@@ -72,12 +72,11 @@
     std::vector<coming_load> coming;
 };
 
-/// Being carried out, or it already holds.
 enum class order_answer {
-    accepted,
-    refused,  ///< Not carried out and never will be: other orders came between, or one runs.
-    fenced,   ///< A later holder has ordered: this process holds the lease no more.
-    lost      ///< It may be carried out, at any time from now on.
+    accepted,  ///< Being carried out, or it already holds.
+    refused,   ///< Not carried out and never will be: other orders came between, or one runs.
+    fenced,    ///< A later holder has ordered: this process holds the lease no more.
+    lost       ///< It may be carried out, at any time from now on.
 };
 
 struct rollout_tunables {
@@ -132,9 +131,8 @@
     }
 
   private:
-    /// Its report is wanted before an order.
     enum class phase {
-        asking,
+        asking,    ///< Its report is wanted before an order.
         ready,     ///< Its report is in: the order may go out.
         ordering,  ///< The order is on its way.
         loading    ///< The order was accepted.
--- a/test/coordination/reading/reading_simulation_test.cpp
+++ b/test/coordination/reading/reading_simulation_test.cpp
@@ -31,9 +31,8 @@
 constexpr base::duration pace = 500ms;
 constexpr base::duration retry = 100ms;
 
-/// Nothing: all rows, in `rows`.
 struct call_answer {
-    std::optional<std::vector<record>> changes;
+    std::optional<std::vector<record>> changes;  ///< Nothing: all rows, in `rows`.
     std::vector<record> rows;
     std::uint64_t version = 0;
     base::duration confirmed_after{};
--- a/test/coordination/release/release_property_test.cpp
+++ b/test/coordination/release/release_property_test.cpp
@@ -46,9 +46,8 @@
 };
 
 class world {
-    /// Invariants that were broken.
   public:
-    std::vector<std::string> faults;
+    std::vector<std::string> faults;  ///< Invariants that were broken.
     world_faults shares;
     std::vector<ordered_version> orders;
 
@@ -110,9 +109,8 @@
     bool all_permit(const software_version& version, permission wanted) const {
         return std::all_of(m_routers.begin(), m_routers.end(),
                            [&](const router& one) { return permits(one, version) == wanted; });
-        /// Moments at which a router permitted canary requests.
     }
-    std::size_t canaries = 0;
+    std::size_t canaries = 0;  ///< Moments at which a router permitted canary requests.
 
   private:
     enum class outcome : std::uint8_t { done, failed, lost, late };
