--- a/src/ferryroad/coordination/reading/reading_tree.cpp
+++ b/src/ferryroad/coordination/reading/reading_tree.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-/// Apart from the ranks that other matters give the same names.
+/// Keeps these ranks independent of other rankings of the same names.
 constexpr std::uint64_t rank_salt = 0x7265616465727321;
-/// Of a rank; those above them are the class of a machine's capacity.
+/// Bits of a rank that hold the hash; the bits above hold the capacity class of the machine.
 constexpr unsigned score_bits = 56;
 
 std::vector<tree_member> ranked(std::vector<tree_member> members) {
@@ -25,7 +25,7 @@
     return members;
 }
 
-/// The first of each zone, those before the others that are the first of their region, too.
+/// @return the first router of each zone; those that are also the first of their region come first.
 std::vector<tree_member> heads_of(const std::vector<tree_member>& in_rank) {
     std::vector<tree_member> heads;
     std::vector<tree_member> of_zones;
@@ -41,8 +41,9 @@
     return heads;
 }
 
-/// Where a head takes its copy from that isn't a reader: the head of a region from the readers, or
-/// from other such heads below them, and the head of a zone from those of its region.
+/// @return the parent of a head that is not a reader. The head of a region takes its copy from the
+/// readers, or from other such heads below them; the head of a zone takes it from the heads of its
+/// region.
 tree_member parent_of_head(const tree_member& self, const std::vector<tree_member>& heads,
                            std::size_t readers, std::size_t degree) {
     std::set<base::region_name> regions;
@@ -60,9 +61,9 @@
         return static_cast<std::size_t>(
             std::distance(list.begin(), std::find(list.begin(), list.end(), wanted)));
     };
-    const std::size_t as_region = place_in(across, self);
-    if (as_region < across.size()) {
-        return across[(as_region - readers) / degree];
+    const std::size_t position = place_in(across, self);
+    if (position < across.size()) {
+        return across[(position - readers) / degree];
     }
     const auto is_reader = [&](const tree_member& one) { return place_in(heads, one) < readers; };
     const auto reading =
@@ -71,7 +72,7 @@
     return within[(place_in(within, self) - above) / degree];
 }
 
-/// Heads first, so that readers stand in different zones where there are several.
+/// Heads come first, so that the readers are in different zones if there are several.
 std::vector<tree_member> readers_of(const std::vector<tree_member>& in_rank,
                                     const std::vector<tree_member>& heads, std::size_t count) {
     std::vector<tree_member> readers(
--- a/src/ferryroad/coordination/reading/source_reach.cpp
+++ b/src/ferryroad/coordination/reading/source_reach.cpp
@@ -32,7 +32,8 @@
     const double jitter = 0.75 + 0.5 * m_random.unit();
     if (from) {
         ++m_revision;
-        extend(m_routers[*from], m_settings.first_absence, m_settings.longest_absence, now, jitter);
+        extend(m_routers[*from], m_settings.first_exclusion, m_settings.longest_exclusion, now,
+               jitter);
         return;
     }
     const base::duration longest = role == reading_role::reader ? m_settings.longest_reader_pause
@@ -40,14 +41,14 @@
     extend(m_owner, m_settings.first_owner_pause, longest, now, jitter);
 }
 
-void source_reach::extend(absence& one, base::duration first, base::duration longest,
+void source_reach::extend(exclusion& one, base::duration first, base::duration longest,
                           base::monotonic_time now, double jitter) {
     const base::duration pause = std::min(std::max(one.next, first), longest);
     one.until = now + base::from_seconds(base::to_seconds(pause) * jitter);
     one.next = 2 * pause;
 }
 
-base::monotonic_time source_reach::next_return(base::monotonic_time now) const {
+base::monotonic_time source_reach::next_readmission(base::monotonic_time now) const {
     base::monotonic_time next = base::monotonic_time::max();
     for (const auto& [name, one] : m_routers) {
         next = one.until > now ? std::min(next, one.until) : next;
@@ -55,7 +56,7 @@
     return next;
 }
 
-source source_reach::first_back(const std::vector<tree_member>& others) const {
+source source_reach::first_readmitted(const std::vector<tree_member>& others) const {
     source first;
     base::monotonic_time earliest = m_owner.until;
     for (const tree_member& one : others) {
--- a/src/ferryroad/coordination/reading/source_selector.cpp
+++ b/src/ferryroad/coordination/reading/source_selector.cpp
@@ -21,18 +21,18 @@
         return std::tie(a.rank, a.name) > std::tie(b.rank, b.name);
     };
     std::sort(m_others.begin(), m_others.end(), ranks_before);
-    m_place = static_cast<std::size_t>(
+    m_rank_position = static_cast<std::size_t>(
         std::count_if(m_others.begin(), m_others.end(),
                       [&](const tree_member& one) { return ranks_before(one, m_self); }));
     m_is_reader = place_in_tree(m_self, m_others, m_settings.tree).reads_owner;
     m_parents.clear();
-    std::erase_if(m_old_until, [&](const auto& entry) {
+    std::erase_if(m_stale_until, [&](const auto& entry) {
         return std::none_of(m_others.begin(), m_others.end(),
                             [&](const tree_member& one) { return one.name == entry.first; });
     });
 }
 
-source source_selector::tree_parent(leave_out rule, base::monotonic_time now) const {
+source source_selector::tree_parent(exclusion_rule rule, base::monotonic_time now) const {
     const auto known = m_parents.find(rule);
     const bool holds = known != m_parents.end() && now < known->second.until &&
                        known->second.reach_revision == m_reach.revision();
@@ -44,24 +44,27 @@
     return parent;
 }
 
-base::monotonic_time source_selector::next_change(leave_out rule, base::monotonic_time now) const {
-    base::monotonic_time next = m_reach.next_return(now);
-    if (rule == leave_out::absent_or_old) {
-        for (const auto& [name, until] : m_old_until) {
+base::monotonic_time source_selector::next_change(exclusion_rule rule,
+                                                  base::monotonic_time now) const {
+    base::monotonic_time next = m_reach.next_readmission(now);
+    if (rule == exclusion_rule::unreachable_or_stale) {
+        for (const auto& [name, until] : m_stale_until) {
             next = until > now ? std::min(next, until) : next;
         }
     }
     return next;
 }
 
-bool source_selector::is_usable(const source& from, leave_out rule,
+bool source_selector::is_usable(const source& from, exclusion_rule rule,
                                 base::monotonic_time now) const {
-    const auto known = from ? m_old_until.find(*from) : m_old_until.end();
-    const bool is_old = known != m_old_until.end() && now < known->second;
-    return m_reach.is_present(from, now) && !(rule == leave_out::absent_or_old && is_old);
+    const auto known = from ? m_stale_until.find(*from) : m_stale_until.end();
+    const bool is_stale = known != m_stale_until.end() && now < known->second;
+    return m_reach.is_present(from, now) &&
+           !(rule == exclusion_rule::unreachable_or_stale && is_stale);
 }
 
-std::vector<tree_member> source_selector::usable(leave_out rule, base::monotonic_time now) const {
+std::vector<tree_member> source_selector::usable(exclusion_rule rule,
+                                                 base::monotonic_time now) const {
     std::vector<tree_member> found;
     std::copy_if(m_others.begin(), m_others.end(), std::back_inserter(found),
                  [&](const tree_member& one) { return is_usable(one.name, rule, now); });
@@ -69,68 +72,70 @@
 }
 
 source source_selector::choose(base::monotonic_time now) {
-    const bool on_detour =
-        m_detour && now < m_detour_until && is_usable(*m_detour, leave_out::absent_or_old, now);
-    if (on_detour) {
-        m_chosen = *m_detour;
+    const bool uses_temporary =
+        m_temporary_source && now < m_temporary_until &&
+        is_usable(*m_temporary_source, exclusion_rule::unreachable_or_stale, now);
+    if (uses_temporary) {
+        m_chosen = *m_temporary_source;
     } else {
-        m_detour.reset();
-        m_chosen = is_current(now) ? choose_while_current(now) : choose_while_old(now);
+        m_temporary_source.reset();
+        m_chosen = is_current(now) ? choose_while_current(now) : choose_while_stale(now);
     }
     return m_chosen;
 }
 
 source source_selector::choose_while_current(base::monotonic_time now) const {
-    if (is_usable(std::nullopt, leave_out::absent, now)) {
-        return tree_parent(leave_out::absent_or_old, now);
+    if (is_usable(std::nullopt, exclusion_rule::unreachable, now)) {
+        return tree_parent(exclusion_rule::unreachable_or_stale, now);
     }
-    const auto others = usable(leave_out::absent_or_old, now);
-    return others.empty() ? m_reach.first_back(m_others) : nearest_reader(others);
+    const auto others = usable(exclusion_rule::unreachable_or_stale, now);
+    return others.empty() ? m_reach.first_readmitted(m_others) : nearest_reader(others);
 }
 
-source source_selector::choose_while_old(base::monotonic_time now) {
-    source preferred = tree_parent(leave_out::absent, now);
-    if (is_usable(preferred, leave_out::absent_or_old, now)) {
+source source_selector::choose_while_stale(base::monotonic_time now) {
+    source preferred = tree_parent(exclusion_rule::unreachable, now);
+    if (is_usable(preferred, exclusion_rule::unreachable_or_stale, now)) {
         return preferred;
     }
-    const bool owner_answers = is_usable(std::nullopt, leave_out::absent, now);
+    const bool owner_answers = is_usable(std::nullopt, exclusion_rule::unreachable, now);
     if (owner_answers && may_read_owner(now)) {
         return std::nullopt;
     }
-    const auto others = usable(leave_out::absent_or_old, now);
+    const auto others = usable(exclusion_rule::unreachable_or_stale, now);
     if (!others.empty()) {
-        return any_stand_in(others, now);
+        return any_fallback_reader(others, now);
     }
     if (owner_answers) {
         return std::nullopt;
     }
-    const auto answering = usable(leave_out::absent, now);
-    return answering.empty() ? m_reach.first_back(m_others) : any_of(answering);
+    const auto answering = usable(exclusion_rule::unreachable, now);
+    return answering.empty() ? m_reach.first_readmitted(m_others) : random_choice(answering);
 }
 
 std::size_t source_selector::owner_readers(base::monotonic_time now) const {
-    const bool soon_old = age(now) + m_settings.silent_call > m_settings.oldest_copy;
-    return soon_old ? m_settings.stand_ins : m_settings.tree.readers;
+    const bool soon_stale = age(now) + m_settings.call_timeout > m_settings.oldest_copy;
+    return soon_stale ? m_settings.fallback_readers : m_settings.tree.readers;
 }
 
 bool source_selector::may_read_owner(base::monotonic_time now) {
-    if (!m_as_of || m_place < owner_readers(now)) {
+    if (!m_as_of || m_rank_position < owner_readers(now)) {
         return true;
     }
-    const base::duration old_for = age(now) - m_settings.oldest_copy;
-    if (old_for > m_settings.isolated_after && m_silent_calls >= m_settings.isolated_calls) {
+    const base::duration stale_for = age(now) - m_settings.oldest_copy;
+    if (stale_for > m_settings.isolated_after && m_unanswered_calls >= m_settings.isolated_calls) {
         return true;
     }
-    return old_for > m_settings.others_after &&
-           m_random.below(m_others.size() + 1) < m_settings.stand_ins;
+    return stale_for > m_settings.others_read_owner_after &&
+           m_random.below(m_others.size() + 1) < m_settings.fallback_readers;
 }
 
-source source_selector::any_stand_in(std::vector<tree_member> others, base::monotonic_time now) {
+source source_selector::any_fallback_reader(std::vector<tree_member> others,
+                                            base::monotonic_time now) {
     const std::size_t count = m_as_of ? owner_readers(now) : others.size();
     if (count < others.size()) {
         others.resize(count);
     }
-    return any_of(others);
+    return random_choice(others);
 }
 
 source source_selector::nearest_reader(const std::vector<tree_member>& others) const {
@@ -147,36 +152,36 @@
     return near == readers.end() ? readers.front().name : near->name;
 }
 
-source source_selector::any_of(const std::vector<tree_member>& others) {
+source source_selector::random_choice(const std::vector<tree_member>& others) {
     return others[m_random.below(others.size())].name;
 }
 
 void source_selector::answered(const source& from, base::monotonic_time as_of,
                                base::monotonic_time now) {
     m_reach.answered(from);
-    m_silent_calls = 0;
+    m_unanswered_calls = 0;
     const bool was_current = is_current(now);
     m_as_of = std::max(m_as_of.value_or(as_of), as_of);
     if (now - as_of > m_settings.oldest_copy) {
-        leave_old(from, now);
+        exclude_stale(from, now);
         return;
     }
-    if (from && m_old_until.erase(*from) > 0) {
+    if (from && m_stale_until.erase(*from) > 0) {
         m_parents.clear();
     }
-    if (!was_current && from != tree_parent(leave_out::absent, now)) {
-        turn_to(from, now);
+    if (!was_current && from != tree_parent(exclusion_rule::unreachable, now)) {
+        switch_to(from, now);
     }
 }
 
 void source_selector::has_no_copy(const source& from, base::monotonic_time now) {
     m_reach.answered(from);
-    leave_old(from, now);
+    exclude_stale(from, now);
 }
 
-void source_selector::leave_old(const source& from, base::monotonic_time now) {
+void source_selector::exclude_stale(const source& from, base::monotonic_time now) {
     if (from) {
-        m_old_until[*from] = now + jittered(m_settings.old_copy_pause);
+        m_stale_until[*from] = now + jittered(m_settings.old_copy_pause);
         m_parents.clear();
     }
 }
@@ -186,25 +191,25 @@
     if (!from) {
         return;
     }
-    ++m_silent_calls;
-    const bool next_is_too_late =
-        !m_as_of || age(now) + m_settings.silent_call > m_settings.oldest_copy;
-    if (!next_is_too_late) {
-        return;  // The router that takes its place in the tree may be silent, too.
+    ++m_unanswered_calls;
+    const bool next_timeout_too_late =
+        !m_as_of || age(now) + m_settings.call_timeout > m_settings.oldest_copy;
+    if (!next_timeout_too_late) {
+        return;  // The router that takes its place in the tree may not answer either.
     }
     if (m_reach.is_present(std::nullopt, now) && may_read_owner(now)) {
-        turn_to(std::nullopt, now);
+        switch_to(std::nullopt, now);
         return;
     }
-    const auto others = usable(leave_out::absent_or_old, now);
+    const auto others = usable(exclusion_rule::unreachable_or_stale, now);
     if (!others.empty()) {
-        turn_to(any_stand_in(others, now), now);
+        switch_to(any_fallback_reader(others, now), now);
     }
 }
 
-void source_selector::turn_to(const source& other, base::monotonic_time now) {
-    m_detour.emplace(other);
-    m_detour_until = now + jittered(m_settings.detour);
+void source_selector::switch_to(const source& other, base::monotonic_time now) {
+    m_temporary_source.emplace(other);
+    m_temporary_until = now + jittered(m_settings.temporary_source_period);
 }
 
 base::duration source_selector::jittered(base::duration pause) {
--- a/src/ferryroad/coordination/reading/table_mirror.cpp
+++ b/src/ferryroad/coordination/reading/table_mirror.cpp
@@ -37,7 +37,7 @@
         const auto removed = m_removed.find(row.key);
         if (removed != m_removed.end()) {
             if (removed->second >= row.version) {
-                return;  // Told late: it was removed since.
+                return;  // Arrived late: the row has been removed since.
             }
             m_marks.erase({removed->second, removed->first});
             m_removed.erase(removed);
@@ -48,7 +48,7 @@
     }
     record& known = found->second;
     const bool newer = row.version > known.version;
-    const bool same = known.value == row.value || (m_same && m_same(known, row));
+    const bool same = known.value == row.value || (m_same_meaning && m_same_meaning(known, row));
     if (newer && !same) {
         m_marks.erase({known.version, found->first});
         known = row;
@@ -70,35 +70,35 @@
 
 void table_mirror::mark(std::uint64_t version, std::string_view key) {
     m_marks.emplace(version, key);
-    m_changed = std::max(m_changed, version);
+    m_changed_version = std::max(m_changed_version, version);
     ++m_revision;
 }
 
 void table_mirror::forget_removed() {
-    while (m_removed.size() > most_removed()) {
+    while (m_removed.size() > max_removals()) {
         const auto oldest =
             std::min_element(m_removed.begin(), m_removed.end(),
                              [](const auto& a, const auto& b) { return a.second < b.second; });
-        m_forgotten = std::max(m_forgotten, oldest->second);
+        m_forgotten_version = std::max(m_forgotten_version, oldest->second);
         m_marks.erase({oldest->second, oldest->first});
         m_removed.erase(oldest);
     }
 }
 
-void table_mirror::confirm(const confirmation& told) {
+void table_mirror::confirm(const confirmation& received) {
     if (!m_confirmed) {
-        m_confirmed = told;
+        m_confirmed = received;
         return;
     }
-    m_confirmed->version = std::max(m_confirmed->version, told.version);
-    if (told.as_of > m_confirmed->as_of) {
-        m_confirmed->as_of = told.as_of;
-        m_confirmed->owner_time = told.owner_time;
+    m_confirmed->version = std::max(m_confirmed->version, received.version);
+    if (received.as_of > m_confirmed->as_of) {
+        m_confirmed->as_of = received.as_of;
+        m_confirmed->owner_time = received.owner_time;
     }
 }
 
 std::optional<std::vector<record>> table_mirror::changes_after(std::uint64_t version) const {
-    if (version < m_forgotten) {
+    if (version < m_forgotten_version) {
         return std::nullopt;
     }
     std::vector<record> changed;
--- a/src/ferryroad/coordination/reading/table_mirror.hpp
+++ b/src/ferryroad/coordination/reading/table_mirror.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// A router's copy of an outside table, from which it answers other routers: what changed after
-/// a version, and as of which moment the copy is known to be complete.
+/// A router's copy of an external table, from which it serves other routers: the rows that changed
+/// after a given version, and the moment up to which the copy is known to be complete.
 #pragma once
 
 #include "ferryroad/coordination/reading/record.hpp"
@@ -19,69 +19,77 @@
 
 namespace ferryroad::coordination::reading {
 
-/// Whether two values of one row mean the same, so that the change need not be passed on.
+/// Returns whether two values of a row are equivalent, so that the change need not be passed on.
 using same_meaning = std::function<bool(const record& before, const record& after)>;
 
-/// Versions never fall: what is older than the copy changes nothing. Not thread-safe.
+/// Copy of one table. Versions never decrease: a row older than the copy changes nothing. Not
+/// thread-safe.
 class table_mirror {
   public:
-    /// @param same nothing where any other value means something else.
-    explicit table_mirror(same_meaning same = {}) : m_same(std::move(same)) {}
+    /// @param same if empty, only equal values are equivalent.
+    explicit table_mirror(same_meaning same = {}) : m_same_meaning(std::move(same)) {}
     table_mirror(const table_mirror&) = delete;
     table_mirror& operator=(const table_mirror&) = delete;
     table_mirror(table_mirror&&) = default;
     table_mirror& operator=(table_mirror&&) = default;
     ~table_mirror() = default;
 
-    /// Takes the whole table as of `version`; a row that is missing was removed.
+    /// Replaces the content by the whole table as of `version`; rows that are missing were removed.
     /// @pre `version` is not below that of the copy.
     void replace(const std::vector<record>& rows, std::uint64_t version);
-    /// Takes a changed row; the copy is complete only once `confirm` says so.
+    /// Applies a changed row. The copy counts as complete only after the next `confirm`.
     void change(const record& row);
-    /// The copy holds everything that the owner accepted before `told.as_of`.
-    void confirm(const confirmation& told);
+    /// Records that the copy contains everything that the owner accepted before `as_of` of the
+    /// confirmation.
+    void confirm(const confirmation& received);
 
-    /// @return the newest confirmation; nothing before the first.
+    /// @return the newest confirmation, or nothing before the first one.
     const std::optional<confirmation>& confirmed() const { return m_confirmed; }
-    /// @return 0 before the first confirmation.
+    /// @return the confirmed version, 0 before the first confirmation.
     std::uint64_t version() const { return m_confirmed ? m_confirmed->version : 0; }
 
-    /// @return a count that rises with each change that is told to others.
+    /// @return a counter that increases with each change that is passed on to other routers.
     std::uint64_t revision() const { return m_revision; }
 
-    /// @return whether `changes_after` would tell of something, or of a lost history.
+    /// @return whether `changes_after` would return changes, or nothing because removals are no
+    /// longer known.
     bool has_changes_after(std::uint64_t version) const {
-        return version < m_forgotten || version < m_changed;
+        return version < m_forgotten_version || version < m_changed_version;
     }
-    /// @return rows whose meaning changed after `version`, removed ones among them; nothing
-    /// where removals since then are no longer all known.
+    /// @return rows changed after `version` (equivalent values don't count), including removed
+    /// ones; nothing if the removals since `version` are no longer all known.
     std::optional<std::vector<record>> changes_after(std::uint64_t version) const;
-    /// @return the rows that there are.
+    /// @return all rows.
     std::vector<record> rows() const;
 
   private:
-    /// Removed rows that are remembered for those who ask later, at least.
-    static constexpr std::size_t least_removed = 256;
+    /// Minimum number of removed rows that are remembered for routers that ask later.
+    static constexpr std::size_t min_removals = 256;
 
-    /// When a row changed last, or was removed, with its key, which lives in one of the maps.
+    /// Version at which a row last changed or was removed, and its key. The key refers to an entry
+    /// of `m_rows` or `m_removed`.
     using change_mark = std::pair<std::uint64_t, std::string_view>;
 
     void put(const record& row);
     void remove(const std::string& key, std::uint64_t version);
     void mark(std::uint64_t version, std::string_view key);
     void forget_removed();
-    /// As many as there are rows: a part of a table may be removed at once, however large it is,
-    /// and a copy that can't tell of it has to be taken anew by all who take theirs from here.
-    std::size_t most_removed() const { return std::max(least_removed, m_rows.size()); }
+    /// As many as there are rows: a large part of a table may be removed at once, and if this copy
+    /// can't report those removals, every router that takes its copy from here has to read the
+    /// whole table.
+    std::size_t max_removals() const { return std::max(min_removals, m_rows.size()); }
 
-    same_meaning m_same;
-    std::map<std::string, record> m_rows;  ///< With the version of the last change of meaning.
+    same_meaning m_same_meaning;
+    /// Each with the version of its last change to a value that is not equivalent.
+    std::map<std::string, record> m_rows;
     std::map<std::string, std::uint64_t> m_removed;
-    /// Of all rows and removed ones, the oldest first: each of the routers below this one asks
-    /// several times a second, and mostly next to nothing has changed.
+    /// Marks of all rows and removed rows, oldest first, so that changes are found without a scan:
+    /// each router below this one asks several times a second, and usually almost nothing has
+    /// changed.
     std::set<change_mark> m_marks;
-    std::uint64_t m_forgotten = 0;  ///< Removals up to this version may be missing.
-    std::uint64_t m_changed = 0;    ///< The newest change of meaning.
+    /// Removals up to this version may have been forgotten.
+    std::uint64_t m_forgotten_version = 0;
+    std::uint64_t m_changed_version = 0;  ///< Version of the newest change.
     std::uint64_t m_revision = 0;
     std::optional<confirmation> m_confirmed;
 };
--- a/test/coordination/reading/reading_simulation_test.cpp
+++ b/test/coordination/reading/reading_simulation_test.cpp
@@ -1,10 +1,10 @@
-/// A fleet of routers follows one table in virtual time, by the parts that the router is made
-/// of, under what fails: routers that stop, freeze and wake, links cut one way, an owner that
-/// is away, turns some away, or answers late. Judged all the time:
-/// - a version never falls at a router;
-/// - a copy is never believed to be younger than it is: whatever the owner accepted before the
-///   moment of the confirmation is in it;
-/// - a while after the last fault every copy is current, and few routers read the owner.
+/// Simulation of a fleet of routers that replicate one table in virtual time, with the router's own
+/// components and under faults: routers that stop, freeze and resume, links that fail in one
+/// direction, an owner that is down, rejects some routers, or answers late. Checked throughout:
+/// - a version never decreases at a router;
+/// - a copy is never taken to be newer than it is: it contains everything that the owner accepted
+///   before the moment of its confirmation;
+/// - some time after the last fault every copy is current, and few routers read the owner.
 #include "ferryroad/base/random.hpp"
 #include "ferryroad/coordination/reading/source_selector.hpp"
 #include "ferryroad/coordination/reading/table_mirror.hpp"
@@ -26,13 +26,13 @@
 using namespace std::chrono_literals;
 
 constexpr base::duration call_margin = 300ms;
-constexpr base::duration least_hold = 200ms;
+constexpr base::duration shortest_hold = 200ms;
 constexpr base::duration longest_hold = 600ms;
 constexpr base::duration pace = 500ms;
 constexpr base::duration retry = 100ms;
 
 struct call_answer {
-    std::optional<std::vector<record>> changes;  ///< Nothing: all rows, in `rows`.
+    std::optional<std::vector<record>> changes;  ///< If empty, `rows` has all rows.
     std::vector<record> rows;
     std::uint64_t version = 0;
     base::duration confirmed_after{};
@@ -45,7 +45,7 @@
             auto added = std::make_unique<router>();
             added->self = make_member(base::router_name("r" + std::to_string(index)),
                                       base::zone_name("z" + std::to_string(index % zones)));
-            // Steady clocks of processes have nothing in common.
+            // The steady clocks of different processes are unrelated.
             added->clock_offset = base::duration(m_random.below(1'000'000'000'000));
             m_members.push_back(added->self);
             m_routers.push_back(std::move(added));
@@ -75,9 +75,9 @@
     void stop(std::size_t index) {
         router& one = *m_routers[index];
         one.running = false;
-        ++one.life;
+        ++one.process_number;
     }
-    /// Its memory is gone.
+    /// Restarts a stopped router without its former state.
     void restart(std::size_t index) {
         router& one = *m_routers[index];
         if (!one.running) {
@@ -94,7 +94,7 @@
             m_cuts.erase({from, to});
         }
     }
-    void turn_away(std::size_t index, bool away) { m_routers[index]->turned_away = away; }
+    void set_rejected(std::size_t index, bool away) { m_routers[index]->rejected = away; }
     void owner_answers(bool answers) { m_owner_answers = answers; }
     void owner_delay(base::duration delay) { m_owner_delay = delay; }
     void heal() {
@@ -102,19 +102,19 @@
         m_owner_answers = true;
         m_owner_delay = 4ms;
         for (std::size_t index = 0; index < size(); ++index) {
-            turn_away(index, false);
+            set_rejected(index, false);
             m_routers[index]->frozen_until = m_now;
             restart(index);
         }
     }
 
-    // ---- Judgement ----
+    // ---- Checks ----
 
     std::uint64_t owner_calls() const { return m_owner_calls; }
     base::duration age(std::size_t index) const {
         const router& one = *m_routers[index];
         const auto& confirmed = one.copy->confirmed();
-        return confirmed ? m_now - to_world(one, confirmed->as_of) : base::duration::max();
+        return confirmed ? m_now - to_simulated_time(one, confirmed->as_of) : base::duration::max();
     }
     base::duration oldest() const {
         base::duration oldest{};
@@ -130,7 +130,7 @@
         }
         return oldest;
     }
-    /// The routers that read the owner where all take part.
+    /// @return the routers that read the owner if all routers take part.
     std::vector<std::size_t> readers_by_place() const {
         std::vector<std::size_t> found;
         for (const tree_member& one : readers_among(m_members, {})) {
@@ -153,10 +153,11 @@
         std::unique_ptr<table_mirror> copy;
         std::unique_ptr<source_reach> reach;
         std::unique_ptr<source_selector> sources;
-        std::uint64_t life = 0;
-        std::uint64_t call = 0;  ///< Answers to earlier ones are dropped.
+        std::uint64_t process_number = 0;
+        /// Number of the current call; answers to earlier calls are dropped.
+        std::uint64_t call = 0;
         bool running = false;
-        bool turned_away = false;
+        bool rejected = false;
         base::duration frozen_until{};
         std::uint64_t seen_version = 0;
     };
@@ -172,11 +173,12 @@
     void after(base::duration delay, std::function<void()> act) {
         m_events.push({m_now + delay, m_number++, std::move(act)});
     }
-    /// Runs in a router's process: after a freeze, and not if the process ended meanwhile.
+    /// Runs `act` in a router's process: after a freeze if it is frozen, and not at all if the
+    /// process has ended in the meantime.
     void in_process(router& one, base::duration delay, std::function<void()> act) {
-        const std::uint64_t life = one.life;
-        after(delay, [this, &one, life, act = std::move(act)] {
-            if (!one.running || one.life != life) {
+        const std::uint64_t process_number = one.process_number;
+        after(delay, [this, &one, process_number, act = std::move(act)] {
+            if (!one.running || one.process_number != process_number) {
                 return;
             }
             if (m_now < one.frozen_until) {
@@ -189,12 +191,12 @@
     base::monotonic_time local(const router& one) const {
         return base::monotonic_time(m_now + one.clock_offset);
     }
-    static base::duration to_world(const router& one, base::monotonic_time moment) {
+    static base::duration to_simulated_time(const router& one, base::monotonic_time moment) {
         return moment.time_since_epoch() - one.clock_offset;
     }
 
     void start(router& one) {
-        ++one.life;
+        ++one.process_number;
         one.running = true;
         one.seen_version = 0;
         one.copy = std::make_unique<table_mirror>();
@@ -237,10 +239,11 @@
         }
     }
 
-    /// As routers do: a call ends about when the copy is too old.
+    /// @return how long the peer may delay its answer. As in the router, a call ends about when the
+    /// copy becomes stale.
     base::duration hold_of(const router& one) const {
         const base::duration left = selector_settings{}.oldest_copy - age(index_of(one.self.name));
-        return left < 0ms ? 0ms : std::clamp(left - call_margin, least_hold, longest_hold);
+        return left < 0ms ? 0ms : std::clamp(left - call_margin, shortest_hold, longest_hold);
     }
 
     void ask_owner(router& one, std::function<void(std::optional<call_answer>)> take) {
@@ -248,10 +251,10 @@
         const std::uint64_t after_version = one.copy->version();
         after(m_owner_delay / 2, [this, &one, after_version, take = std::move(take)] {
             if (!m_owner_answers) {
-                return;  // Silence.
+                return;  // The owner doesn't answer.
             }
             std::optional<call_answer> answer;
-            if (!one.turned_away) {
+            if (!one.rejected) {
                 answer = call_answer{
                     m_owner.changes_after(after_version), m_owner.rows(), m_version, {}};
             }
@@ -268,15 +271,16 @@
             return;
         }
         const std::uint64_t after_version = one.copy->version();
-        in_process(other, way(), [this, &one, &other, from, to, after_version, hold, take] {
-            const base::monotonic_time received_at = local(other);
-            const bool at_once = other.copy->has_changes_after(after_version);
-            in_process(other, at_once ? base::duration{} : hold,
-                       [this, &one, &other, from, to, after_version, received_at, take] {
-                           answer_peer(one, other, received_at, after_version,
-                                       m_cuts.contains({to, from}), take);
-                       });
-        });
+        in_process(other, network_delay(),
+                   [this, &one, &other, from, to, after_version, hold, take] {
+                       const base::monotonic_time received_at = local(other);
+                       const bool at_once = other.copy->has_changes_after(after_version);
+                       in_process(other, at_once ? base::duration{} : hold,
+                                  [this, &one, &other, from, to, after_version, received_at, take] {
+                                      answer_peer(one, other, received_at, after_version,
+                                                  m_cuts.contains({to, from}), take);
+                                  });
+                   });
     }
 
     void answer_peer(router& one, router& other, base::monotonic_time received_at,
@@ -289,7 +293,7 @@
                                  confirmed->version, confirmed->as_of - received_at};
         }
         if (!lost) {
-            in_process(one, way(), [take, answer] { take(answer); });
+            in_process(one, network_delay(), [take, answer] { take(answer); });
         }
     }
 
@@ -313,25 +317,25 @@
             }
         }
         one.copy->confirm({std::max(answer->version, one.copy->version()), as_of, {}});
-        judge(one);
+        check(one);
         const bool is_old = age(index_of(one.self.name)) > selector_settings{}.oldest_copy;
         in_process(one, from ? (is_old ? 150ms : 20ms) : pace, [this, &one] { follow(one); });
     }
 
-    void judge(router& one) {
+    void check(router& one) {
         const confirmation& believed = *one.copy->confirmed();
-        cr_assert_geq(believed.version, one.seen_version, "a version fell");
+        cr_assert_geq(believed.version, one.seen_version, "a version decreased");
         one.seen_version = believed.version;
-        const base::duration as_of = to_world(one, believed.as_of);
+        const base::duration as_of = to_simulated_time(one, believed.as_of);
         auto newest = m_accepted_at.lower_bound(believed.version + 1);
         const bool misses = newest != m_accepted_at.end() && newest->second < as_of;
-        cr_assert(!misses, "a copy was believed to be younger than it is");
+        cr_assert(!misses, "a copy was taken to be newer than it is");
     }
 
     static std::size_t index_of(const base::router_name& name) {
         return std::stoul(name.value.substr(1));
     }
-    base::duration way() { return 1ms + base::duration(m_random.below(2'000'000)); }
+    base::duration network_delay() { return 1ms + base::duration(m_random.below(2'000'000)); }
 
     base::seeded_random m_random;
     std::vector<tree_member> m_members;
@@ -374,9 +378,9 @@
         fleet all(24, 4, seed);
         all.run_for(5s);
         for (std::size_t index = 0; index < all.size(); ++index) {
-            all.turn_away(index, all.random().below(3) != 0);
+            all.set_rejected(index, all.random().below(3) != 0);
         }
-        all.turn_away(all.random().below(all.size()), false);
+        all.set_rejected(all.random().below(all.size()), false);
         all.run_for(8s);
         cr_assert_leq(all.oldest().count(), base::duration(2900ms).count(), "seed %lu",
                       static_cast<unsigned long>(seed));
@@ -394,7 +398,7 @@
         const std::uint64_t before = all.owner_calls();
         all.run_for(10s);
         cr_assert_geq(all.age(0).count(), base::duration(10s).count());
-        // Less than each router by itself: some 2 calls a second each.
+        // Fewer calls than if each router asked for itself, about 2 calls a second each.
         cr_assert_leq(all.owner_calls() - before, 70 * 10);
         all.owner_answers(true);
         all.run_for(3s);
@@ -411,7 +415,7 @@
         }
         const std::uint64_t before = all.owner_calls();
         all.run_for(4s);
-        // Those below them read the owner for some 3 s, twice a second each.
+        // The routers below the readers read the owner for about 3 s, twice a second each.
         cr_assert_leq(all.owner_calls() - before, 300);
         cr_assert_leq(all.oldest_running().count(), base::duration(2500ms).count());
         all.heal();
@@ -457,10 +461,10 @@
                     all.cut(one, other, false);
                     break;
                 case 5:
-                    all.turn_away(one, true);
+                    all.set_rejected(one, true);
                     break;
                 case 6:
-                    all.turn_away(one, false);
+                    all.set_rejected(one, false);
                     break;
                 case 7:
                     all.owner_answers(all.random().below(3) != 0);
@@ -478,21 +482,21 @@
 
 namespace {
 
-enum class turned_away { readers_only, readers_and_a_third };
+enum class rejected { readers_only, readers_and_a_third };
 
-/// @return calls to the owner within 9 s after it began to turn routers away.
-std::uint64_t calls_while_turned_away(std::size_t routers, turned_away who) {
+/// @return number of calls to the owner within 9 s after it began to reject routers.
+std::uint64_t calls_while_rejected(std::size_t routers, rejected who) {
     constexpr base::duration period = 9s;
     fleet all(routers, 5, 7);
     all.run_for(4s);
     const std::uint64_t before = all.owner_calls();
-    if (who == turned_away::readers_and_a_third) {
+    if (who == rejected::readers_and_a_third) {
         for (std::size_t index = 0; index < routers; ++index) {
-            all.turn_away(index, all.random().below(3) == 0);
+            all.set_rejected(index, all.random().below(3) == 0);
         }
     }
     for (const std::size_t reader : all.readers_by_place()) {
-        all.turn_away(reader, true);
+        all.set_rejected(reader, true);
     }
     all.run_for(period);
     cr_assert_leq(all.oldest_running().count(), base::duration(2900ms).count());
@@ -501,19 +505,21 @@
 
 }  // namespace
 
-/// Load pattern: the owner turns its readers away, and each router below them would ask for itself.
+/// Load pattern: the owner rejects its readers, and without a limit each router below them would
+/// ask the owner itself.
 Test(reading_simulation, routers_that_stand_in_for_the_readers_are_few_in_any_fleet) {
     const selector_settings settings;
-    // As many stand-ins by rank, and about as many by chance, each of them at the readers' pace.
-    const std::uint64_t bound = 2 * settings.stand_ins * (9s / pace);
-    for (const turned_away who : {turned_away::readers_only, turned_away::readers_and_a_third}) {
+    // The fallback readers chosen by rank and about as many chosen at random, each at the pace of a
+    // reader.
+    const std::uint64_t bound = 2 * settings.fallback_readers * (9s / pace);
+    for (const rejected who : {rejected::readers_only, rejected::readers_and_a_third}) {
         for (const std::size_t routers : {79U, 985U}) {
-            cr_assert_leq(calls_while_turned_away(routers, who), bound, "%zu routers", routers);
+            cr_assert_leq(calls_while_rejected(routers, who), bound, "%zu routers", routers);
         }
     }
 }
 
-/// Load pattern: 7 in 100 machines lose power, among them sources of many others.
+/// Load pattern: 7 in 100 machines lose power, among them the sources of many others.
 Test(reading_simulation, routers_whose_source_ends_take_another_router_s_copy) {
     fleet all(985, 5, 7);
     all.run_for(4s);
@@ -527,8 +533,8 @@
     }
     before = all.owner_calls();
     all.run_for(9s);
-    // Each stand-in asks two or three times at the most.
+    // Each fallback reader asks at most three times.
     const selector_settings settings;
-    cr_assert_leq(all.owner_calls() - before, calm + 3 * settings.stand_ins);
+    cr_assert_leq(all.owner_calls() - before, calm + 3 * settings.fallback_readers);
     cr_assert_leq(all.oldest_running().count(), base::duration(2900ms).count());
 }
--- a/test/coordination/reading/reading_tree_test.cpp
+++ b/test/coordination/reading/reading_tree_test.cpp
@@ -1,4 +1,5 @@
-/// Few routers read the owner, nobody feeds too many, and every copy comes from above.
+/// Tests of the reading tree: few routers read the owner, no router serves too many others, and
+/// every router reaches the owner through its parents.
 #include "ferryroad/coordination/reading/reading_tree.hpp"
 
 #include <criterion/criterion.h>
@@ -64,20 +65,20 @@
                               shape{370, 10, 4}, shape{370, 1, 3}}) {
         const auto members = fleet(each.routers, each.zones);
         const auto all = places(members);
-        std::map<base::router_name, std::size_t> fed;
+        std::map<base::router_name, std::size_t> served;
         std::size_t readers = 0;
         for (const auto& [name, place] : all) {
             readers += place.reads_owner ? 1 : 0;
             cr_assert_neq(place.reads_owner, place.parent.has_value());
             if (place.parent) {
-                ++fed[*place.parent];
+                ++served[*place.parent];
             }
             cr_assert_leq(hops_to_owner(all, name), each.most_hops, "%zu routers, %zu zones",
                           each.routers, each.zones);
         }
         cr_assert_eq(readers, 2);
-        for (const auto& [name, routers] : fed) {
-            // A head feeds its own zone and, as a reader, other heads.
+        for (const auto& [name, routers] : served) {
+            // A head serves its own zone and, if it is a reader, other heads.
             cr_assert_leq(routers, 2 * tree_settings{}.degree);
         }
     }
@@ -119,7 +120,7 @@
 
 namespace {
 
-/// Zones z0, z1, ... lie in regions by turns.
+/// Zones z0, z1, ... are assigned to the regions in turn.
 std::vector<tree_member> fleet_of_regions(std::size_t routers, std::size_t zones,
                                           std::size_t regions) {
     std::vector<tree_member> members;
--- a/test/coordination/reading/source_selector_test.cpp
+++ b/test/coordination/reading/source_selector_test.cpp
@@ -1,4 +1,5 @@
-/// A router leaves a source that is gone or old, and comes back to it.
+/// Tests of the selection of sources: a router stops using a source that doesn't answer or is
+/// stale, and returns to it later.
 #include "ferryroad/coordination/reading/source_selector.hpp"
 
 #include <criterion/criterion.h>
@@ -17,7 +18,7 @@
 }
 
 const base::monotonic_time start = at(100s);
-/// Older than any copy may be.
+/// Older than any copy that is not stale.
 constexpr base::duration long_ago = 50s;
 
 struct fixture {
@@ -26,7 +27,7 @@
     std::vector<tree_member> members;
     tree_member self;
 
-    /// @param reads whether the router of interest is to be one of the readers.
+    /// @param reads whether the tested router is one of the readers.
     explicit fixture(bool reads) {
         for (int index = 0; index < 12; ++index) {
             members.push_back(make_member(base::router_name("r" + std::to_string(index)),
@@ -40,7 +41,7 @@
             }
         }
     }
-    /// A selector of a router whose copy is current.
+    /// @return the selector of a router whose copy is current.
     source_selector selector() {
         source_selector made(self, {}, reach, random);
         made.declare(members);
@@ -173,7 +174,8 @@
     fixture with(false);
     source_selector selector = with.selector();
     const source first = selector.choose(start);
-    const base::monotonic_time later = start + 5s;  // Nothing current was heard meanwhile.
+    const base::monotonic_time later =
+        start + 5s;  // No current answer was received in the meantime.
     cr_assert(selector.choose(later) == first);
     selector.answered(first, later - long_ago, later);
     selector.failed(std::nullopt, later);
@@ -209,7 +211,7 @@
     source_selector selector = with.selector();
     const base::duration oldest = selector_settings{}.oldest_copy;
     const source first = selector.choose(start);
-    // All it tells from now on is as of `start`.
+    // All its answers from now on are complete only as of `start`.
     selector.answered(first, start, start + oldest - 10ms);
     selector.answered(first, start, start + oldest + 10ms);
     cr_assert(selector.choose(start + oldest + 10ms) == std::nullopt);
--- a/test/coordination/reading/table_mirror_test.cpp
+++ b/test/coordination/reading/table_mirror_test.cpp
@@ -1,4 +1,5 @@
-/// What is told from a copy is what the owner's table holds, whatever way it took.
+/// Tests of a table copy: what it passes on is equal to the owner's table, regardless of how the
+/// rows arrived.
 #include "ferryroad/coordination/reading/table_mirror.hpp"
 
 #include <criterion/criterion.h>
@@ -96,8 +97,8 @@
     cr_assert(copy.changes_after(600).has_value());
 }
 
-/// One mirror follows the owner; a second follows the first one, with pauses; at the end both
-/// hold what the owner holds.
+/// One copy follows the owner and a second copy follows the first, with pauses; at the end both
+/// have the same content as the owner.
 Test(table_mirror, a_copy_of_a_copy_is_the_table) {
     const bool holds = rc::check("a copy of a copy is the table", [] {
         const auto steps = *rc::gen::container<std::vector<int>>(60, rc::gen::inRange(0, 100));
