--- a/src/ferryroad/coordination/release/types.hpp
+++ b/src/ferryroad/coordination/release/types.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// An order to move a pool's requests to engines of another software version, how far it has
-/// come, and what lasts of it beyond any router.
+/// Release of a software version: an order to move the requests of a pool to engines with another
+/// software version, its progress, and the record of it that outlasts every router.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -14,55 +14,61 @@
 
 namespace ferryroad::coordination::release {
 
-/// A software version of engines, as they list it; unordered.
+/// Software version as listed by engines; versions are not ordered.
 using software_version = base::strong_id<struct software_version_tag, std::string>;
-/// Names an order: version of the row that it was read from. Later orders are greater.
+/// Identifies an order: the version of the row that it was read from. Later orders have greater
+/// numbers.
 using order_number = base::strong_id<struct order_number_tag, std::uint64_t>;
-/// Milliseconds of the store's steady clock.
+/// Milliseconds of the steady clock of the store.
 using store_milliseconds = std::int64_t;
 
+/// An operator's order to release a software version.
 struct release_order {
     order_number number;
     base::pool_name pool;
     software_version target;
-    base::duration allowed{};  ///< From the order to when it should be completed.
+    base::duration allowed{};  ///< Time from the order to its deadline.
 
     friend bool operator==(const release_order&, const release_order&) = default;
 };
 
+/// Phase of a release.
 enum class release_phase : std::uint8_t {
-    trial,       ///< A small share of requests may go to the target version, under grants.
-    promoted,    ///< All requests go there, while those at old engines end.
-    completed,   ///< Old engines may stop at any moment.
-    rolled_back  ///< Nothing goes there.
+    trial,       ///< Under grants, a small share of requests may go to the target version.
+    promoted,    ///< All new requests go to the target version, while requests on replaced engines
+                 ///< finish.
+    completed,   ///< Replaced engines may stop at any moment.
+    rolled_back  ///< No request goes to the target version.
 };
 
+/// @return the name of the phase as stored in the record.
 std::string_view to_string(release_phase phase);
-/// @return whether the phase is never left.
+/// @return whether no other phase follows.
 inline bool is_final(release_phase phase) {
     return phase == release_phase::completed || phase == release_phase::rolled_back;
 }
 
-/// Of one pool, in the table; written under the condition that it hasn't changed.
+/// Stored record of one pool's release. Written on condition that it hasn't changed.
 struct release_record {
     order_number order;
     software_version target;
     release_phase phase = release_phase::trial;
-    bool status_told = false;  ///< Operators have been told of a final phase.
-    /// The order may have been given as early as this.
+    bool status_told = false;  ///< Whether the final phase has been reported to operators.
+    /// Earliest time at which the order may have been given.
     store_milliseconds ordered_after = 0;
-    std::set<software_version> refused;   ///< Rolled back or overtaken by a later order.
-    std::set<software_version> replaced;  ///< Get nothing from `promoted` on.
+    std::set<software_version> refused;   ///< Versions rolled back or superseded by a later order.
+    std::set<software_version> replaced;  ///< Versions that get no requests from `promoted` on.
 
     friend bool operator==(const release_record&, const release_record&) = default;
 };
 
-/// JSON, as `rollout/naming_record` is.
+/// @return the record as JSON.
 std::string encode(const release_record& record);
-/// @return nothing where `text` is no such record.
+/// @return the record, or nothing if `text` is not a valid release record.
 std::optional<release_record> decode_release_record(std::string_view text);
 
-/// What a router is told of a release, as the answer to its report and, on a roll-back, at once.
+/// Tells a router the state of a release: sent as the answer to its report and, on a roll-back, to
+/// all routers at once.
 struct phase_notice {
     base::pool_name pool;
     order_number order;
--- a/src/ferryroad/coordination/release/version_gate.cpp
+++ b/src/ferryroad/coordination/release/version_gate.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Phases are told in any order and more than once: the highest counts.
+/// Notices arrive in any order and repeatedly; the phase with the highest rank counts.
 int rank(release_phase phase) {
     switch (phase) {
         case release_phase::trial:
@@ -25,8 +25,9 @@
     return phase == release_phase::promoted || phase == release_phase::completed;
 }
 
-/// Refused, or replaced from `promoted` on.
-bool shuts_out(const phase_notice& notice, const software_version& version) {
+/// @return whether the notice excludes `version`: it is refused, or it is replaced and the phase is
+/// `promoted` or later.
+bool excludes(const phase_notice& notice, const software_version& version) {
     return notice.refused.contains(version) ||
            (is_forward(notice.phase) && notice.replaced.contains(version));
 }
@@ -44,13 +45,13 @@
     if (known != m_orders.end()) {
         const auto phase = phase_of(given.pool);
         if (!phase || !is_forward(*phase)) {
-            state.overtaken.insert(known->second.target);
+            state.superseded.insert(known->second.target);
         }
     }
     if (state.told && state.told->notice.order >= given.number) {
-        state.overtaken.clear();
+        state.superseded.clear();
     }
-    state.overtaken.erase(given.target);
+    state.superseded.erase(given.target);
     state.target_in_force = only_in_force(state, given.target);
     m_orders.insert_or_assign(given.pool, given);
 }
@@ -60,17 +61,17 @@
     if (state.told) {
         const phase_notice& last = state.told->notice;
         const bool older = notice.order < last.order;
-        const bool back = notice.order == last.order && rank(notice.phase) < rank(last.phase);
-        if (older || back) {
+        const bool regresses = notice.order == last.order && rank(notice.phase) < rank(last.phase);
+        if (older || regresses) {
             return;
         }
     }
     state.told = told_phase{notice, now};
     const release_order* known = order_of(notice.pool);
     if (known == nullptr || notice.order >= known->number) {
-        state.overtaken.clear();
+        state.superseded.clear();
     } else if (!is_forward(notice.phase) && notice.target != known->target) {
-        state.overtaken.insert(notice.target);
+        state.superseded.insert(notice.target);
     }
     if (notice.phase == release_phase::rolled_back) {
         const auto target = state.seen.find(notice.target);
@@ -131,8 +132,8 @@
     const release_order* known = order_of(pool);
     const bool told_as_target = state.told && state.told->notice.target == version &&
                                 state.told->notice.phase != release_phase::completed;
-    if (state.overtaken.contains(version) || told_as_target ||
-        (state.told && shuts_out(state.told->notice, version))) {
+    if (state.superseded.contains(version) || told_as_target ||
+        (state.told && excludes(state.told->notice, version))) {
         return false;
     }
     return known == nullptr || known->target != version ||
@@ -158,16 +159,17 @@
         return confirmed ? permission::all : permission::none;
     }
     const phase_notice* told = state->told ? &state->told->notice : nullptr;
-    // A later order that this router has only been told of: no grant until it has read it.
+    // A later order that this router knows only from a notice: no trial until it has read the
+    // order.
     if (told && told->target == version && (known == nullptr || told->order > known->number)) {
         const bool before = told->phase == release_phase::trial && only_in_force(*state, version);
         return before || is_forward(told->phase) ? permission::all : permission::none;
     }
-    const bool told_of_later = told && known && told->order > known->number;
-    if (known && known->target == version && !told_of_later) {
+    const bool later_order_announced = told && known && told->order > known->number;
+    if (known && known->target == version && !later_order_announced) {
         return permits_target(pool, *state, now);
     }
-    if (state->overtaken.contains(version) || (told && shuts_out(*told, version))) {
+    if (state->superseded.contains(version) || (told && excludes(*told, version))) {
         return permission::none;
     }
     const auto seen = state->seen.find(version);
@@ -227,9 +229,9 @@
         return false;
     }
     const pool_state* state = state_of(pool);
-    const bool overtaken = state && state->told && state->told->notice.order > known->number;
+    const bool superseded = state && state->told && state->told->notice.order > known->number;
     const auto phase = phase_of(pool);
-    return !overtaken && !(phase && is_final(*phase));
+    return !superseded && !(phase && is_final(*phase));
 }
 
 }  // namespace ferryroad::coordination::release
--- a/src/ferryroad/coordination/rollout/naming_record.hpp
+++ b/src/ferryroad/coordination/rollout/naming_record.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// When weights were named, kept where it outlasts every router: a router that starts in the
-/// middle of a rollout must know how long the weights in the engines have been outdated.
+/// Record of when weights were named, that is, declared as the version to serve. It is stored
+/// outside of the routers, because a router that starts in the middle of a rollout must know how
+/// long the engines' weights have been outdated.
 #pragma once
 
 #include <cstdint>
@@ -12,26 +13,28 @@
 
 namespace ferryroad::coordination::rollout {
 
-/// Milliseconds of the steady clock of whoever keeps the record.
+/// Milliseconds of the steady clock of the store that keeps the record.
 using keeper_milliseconds = std::int64_t;
 
+/// A named version of a model's weights.
 struct named_weights {
     std::uint64_t version = 0;
-    keeper_milliseconds accepted_after = 0;  ///< It may have been named as early as this.
+    keeper_milliseconds accepted_after = 0;  ///< Earliest time at which it may have been named.
 
     friend bool operator==(const named_weights&, const named_weights&) = default;
 };
 
-/// All weights named by `confirmed_at`: what is newer was named after it.
+/// All weights named up to `confirmed_at`; newer weights were named later.
 struct naming_record {
     keeper_milliseconds confirmed_at = 0;
-    std::map<std::string, std::vector<named_weights>> models;  ///< Versions rising.
+    std::map<std::string, std::vector<named_weights>> models;  ///< Versions in ascending order.
 
     friend bool operator==(const naming_record&, const naming_record&) = default;
 };
 
+/// @return the record as JSON.
 std::string encode(const naming_record& record);
-/// @return nothing where `text` is no such record.
+/// @return the record, or nothing if `text` is not a valid naming record.
 std::optional<naming_record> decode_naming_record(std::string_view text);
 
 }  // namespace ferryroad::coordination::rollout
--- a/src/ferryroad/coordination/rollout/weights_rollout.cpp
+++ b/src/ferryroad/coordination/rollout/weights_rollout.cpp
@@ -9,16 +9,16 @@
 
 namespace {
 
-/// Engines of one version in the order of their urgency, handed out so that zones get even shares:
-/// requests then find engines with new weights near.
+/// Engines of one version, ordered by urgency and handed out so that zones get equal shares:
+/// requests then find engines with new weights nearby.
 class zone_queues {
   public:
-    /// @param position its place in the order; rises from call to call.
+    /// @param position position in the order; increases from call to call.
     void add(const engine_view& one, std::size_t position) {
         m_queues[one.zone].emplace_back(position, &one);
     }
-    /// @param under_way engines begun in each zone. @return the next engine, of the zone with the
-    /// fewest; null where none is left.
+    /// @param under_way number of started engines in each zone.
+    /// @return the next engine of the zone with the fewest started engines; null if none is left.
     const engine_view* take(const std::map<base::zone_name, std::size_t>& under_way) {
         if (m_queues.empty()) {
             return nullptr;
@@ -80,7 +80,7 @@
     return found;
 }
 
-void weights_rollout::drop_ended(const engines_by_name& engines, base::monotonic_time now) {
+void weights_rollout::remove_finished(const engines_by_name& engines, base::monotonic_time now) {
     std::erase_if(m_engines, [&](const auto& entry) {
         const auto seen = engines.find(entry.first.value);
         if (seen == engines.end()) {
@@ -92,18 +92,18 @@
     });
 }
 
-base::duration weights_rollout::places::longest() const {
+base::duration weights_rollout::model_counts::longest_outdated() const {
     const base::duration most =
         outdated_for.empty() ? base::duration{} : outdated_for.rbegin()->first;
     return std::max(most, base::duration{});
 }
 
-void weights_rollout::places::wait(const engine_view& one) {
+void weights_rollout::model_counts::add_waiting(const engine_view& one) {
     ++waiting;
     ++outdated_for[one.outdated_for];
 }
 
-void weights_rollout::places::begin(const engine_view& one) {
+void weights_rollout::model_counts::begin(const engine_view& one) {
     --waiting;
     ++loading;
     const auto same = outdated_for.find(one.outdated_for);
@@ -112,11 +112,11 @@
     }
 }
 
-weights_rollout::fleet_places weights_rollout::places_of(
+weights_rollout::fleet_counts weights_rollout::count_engines(
     const std::vector<engine_view>& engines) const {
-    fleet_places fleet;
+    fleet_counts fleet;
     for (const engine_view& one : engines) {
-        places& counted = fleet[one.model];
+        model_counts& counted = fleet[one.model];
         ++counted.total;
         const auto found = m_engines.find(one.name);
         if (found != m_engines.end()) {
@@ -125,43 +125,44 @@
             counted.unanswered += state.unanswered ? 1 : 0;
             counted.repeating += state.unanswered && state.stage == phase::ordering ? 1 : 0;
         } else if (one.version < wanted(one.model)) {
-            counted.wait(one);
+            counted.add_waiting(one);
         }
     }
     return fleet;
 }
 
-std::size_t weights_rollout::allowed(const places& model) const {
-    return m_pace.allowed(model.total, model.waiting, m_tunables.order_within - model.longest());
+std::size_t weights_rollout::allowed(const model_counts& model) const {
+    return m_pace.allowed(model.total, model.waiting,
+                          m_tunables.order_within - model.longest_outdated());
 }
 
-bool weights_rollout::may_expose(const places& model, base::duration outdated_for) const {
+bool weights_rollout::may_expose(const model_counts& model, base::duration outdated_for) const {
     const double elapsed =
         base::to_seconds(outdated_for) / base::to_seconds(m_tunables.order_within);
-    return model.loading + model.unanswered < m_pace.most_exposed(model.total, elapsed);
+    return model.loading + model.unanswered < m_pace.max_exposed(model.total, elapsed);
 }
 
-// An order without answer holds no place: with most of them lost, engines that had got none waited
-// for those that were ordered again and again.
-bool weights_rollout::has_room(const engine_view& one, const places& model) const {
+// An engine with an unanswered order takes no place: when most orders were lost, engines that had
+// got no order waited behind engines that were sent one again and again.
+bool weights_rollout::has_room(const engine_view& one, const model_counts& model) const {
     return model.loading < allowed(model) && may_expose(model, one.outdated_for);
 }
 
-bool weights_rollout::has_room_to_repeat(const places& model) const {
-    const bool first_orders = model.waiting > 0 && may_expose(model, model.longest());
+bool weights_rollout::has_room_to_repeat(const model_counts& model) const {
+    const bool first_orders = model.waiting > 0 && may_expose(model, model.longest_outdated());
     const std::size_t kept = first_orders ? std::max(model.loading, allowed(model)) : model.loading;
-    return kept + model.repeating < m_pace.most(model.total);
+    return kept + model.repeating < m_pace.max_loading(model.total);
 }
 
-void weights_rollout::sort_by_urgency(engine_list& outdated, const fleet_places& fleet) const {
+void weights_rollout::sort_by_urgency(engine_list& outdated, const fleet_counts& fleet) const {
     std::map<std::string, bool> hurried;
     for (const auto& [name, model] : fleet) {
-        hurried[name] =
-            m_pace.hurries(model.total, model.waiting, m_tunables.order_within - model.longest());
+        hurried[name] = m_pace.is_behind_schedule(
+            model.total, model.waiting, m_tunables.order_within - model.longest_outdated());
     }
-    // The oldest weights first; of equals the least loaded, which is free the soonest. Where time
-    // is short the longest queue: what waits there would begin too late, and the order turns it
-    // away to other engines at once.
+    // The engines with the oldest weights come first, and among equals the least loaded, which is
+    // free the soonest. If time is short, the longest queue comes first instead: its requests would
+    // start too late, and the order diverts them to other engines at once.
     const auto rank = [&](const engine_view* one) {
         const auto unread = static_cast<std::int64_t>(one->unread_tokens);
         const std::int64_t load = one->load;
@@ -183,8 +184,8 @@
     return outdated;
 }
 
-void weights_rollout::begin_some(const std::vector<engine_view>& engines, fleet_places& fleet,
-                                 base::monotonic_time now) {
+void weights_rollout::start_engines(const std::vector<engine_view>& engines, fleet_counts& fleet,
+                                    base::monotonic_time now) {
     engine_list outdated = waiting(engines);
     sort_by_urgency(outdated, fleet);
     std::map<base::zone_name, std::size_t> under_way;
@@ -197,7 +198,7 @@
     }
     for (auto& [version, queues] : by_version) {
         while (const engine_view* one = queues.take(under_way)) {
-            places& model = fleet.at(one->model);
+            model_counts& model = fleet.at(one->model);
             if (has_room(*one, model)) {
                 ++under_way[one->zone];
                 begin(*one, model, now);
@@ -206,7 +207,7 @@
     }
 }
 
-void weights_rollout::begin(const engine_view& one, places& model, base::monotonic_time now) {
+void weights_rollout::begin(const engine_view& one, model_counts& model, base::monotonic_time now) {
     progress begun;
     begun.version = wanted(one.model);
     begun.since = now;
@@ -221,19 +222,19 @@
         m_ordered.clear();
     }
     const engines_by_name named = by_name(engines);
-    drop_ended(named, now);
-    fleet_places fleet = places_of(engines);
-    begin_some(engines, fleet, now);
+    remove_finished(named, now);
+    fleet_counts fleet = count_engines(engines);
+    start_engines(engines, fleet, now);
     rollout_steps steps;
-    repeat_some(named, fleet, now, steps);
+    repeat_orders(named, fleet, now, steps);
     for (auto& [name, state] : m_engines) {
         call(*named.at(name.value), state, now, steps);
     }
     return steps;
 }
 
-void weights_rollout::repeat_some(const engines_by_name& engines, fleet_places& fleet,
-                                  base::monotonic_time now, rollout_steps& steps) {
+void weights_rollout::repeat_orders(const engines_by_name& engines, fleet_counts& fleet,
+                                    base::monotonic_time now, rollout_steps& steps) {
     std::vector<std::pair<base::monotonic_time, const engine_view*>> lost;
     for (const auto& [name, state] : m_engines) {
         if (state.unanswered && state.stage == phase::ready && !state.call_under_way) {
@@ -243,7 +244,7 @@
     std::stable_sort(lost.begin(), lost.end(),
                      [](const auto& a, const auto& b) { return a.first < b.first; });
     for (const auto& [last_order, seen] : lost) {
-        places& model = fleet.at(seen->model);
+        model_counts& model = fleet.at(seen->model);
         if (has_room_to_repeat(model)) {
             order(*seen, m_engines.at(seen->name), now, steps);
             ++model.repeating;
@@ -263,8 +264,8 @@
 
 void weights_rollout::call(const engine_view& seen, progress& state, base::monotonic_time now,
                            rollout_steps& steps) {
-    if (state.untold) {
-        state.untold = false;
+    if (state.unannounced) {
+        state.unannounced = false;
         steps.coming.push_back({seen.name, seen.model, state.version});
     }
     if (state.call_under_way || now < state.next_call) {
@@ -274,7 +275,8 @@
         order(seen, state, now, steps);
         return;
     }
-    // Not said of an engine in doubt: it serves until its order is carried out.
+    // Not announced for an engine with an unanswered order: it serves until the order is carried
+    // out.
     if (state.stage == phase::asking && !state.unanswered) {
         steps.coming.push_back({seen.name, seen.model, wanted(seen.model)});
     }
@@ -297,17 +299,17 @@
         m_engines.erase(found);
         return;
     }
-    // Carried out or under way: none of the orders before can be let through any more, and where
-    // the weights aren't the newest the next order must not wait.
+    // An order was carried out or is running, so none of the earlier orders can be accepted any
+    // more; if the weights aren't the newest, the next order must not wait.
     const bool settled = report.busy || report.orders_taken != state.orders_taken;
     state.orders_taken = report.orders_taken;
     state.next_call = now;
     if (state.unanswered && !settled) {
-        looked_idle(state, now);
+        watch_unanswered(state, now);
         return;
     }
     state.unanswered = false;
-    // Whatever it was ready for, another order is carried out.
+    // Another order is being carried out, so the engine is no longer ready.
     state.stage = state.stage == phase::ready ? phase::asking : state.stage;
     const bool working = report.busy || state.stage == phase::loading;
     if (working) {
@@ -319,10 +321,10 @@
     state.stage = phase::ready;
 }
 
-void weights_rollout::looked_idle(progress& state, base::monotonic_time now) const {
+void weights_rollout::watch_unanswered(progress& state, base::monotonic_time now) const {
     state.stage = phase::ready;
     state.since = now;
-    state.next_call = now + m_tunables.watch_period;
+    state.next_call = now + m_tunables.unanswered_poll_period;
 }
 
 void weights_rollout::report_lost(const base::engine_name& engine, base::monotonic_time now) {
@@ -343,7 +345,7 @@
     progress& state = found->second;
     state.call_under_way = false;
     if (answer == order_answer::accepted) {
-        state.untold = state.unanswered;
+        state.unannounced = state.unanswered;
         state.unanswered = false;
         state.stage = phase::loading;
         state.since = now;
--- a/test/coordination/release/release_coordinator_test.cpp
+++ b/test/coordination/release/release_coordinator_test.cpp
@@ -1,4 +1,5 @@
-/// One coordinator against a table that answers, fails, loses answers or was changed by another.
+/// Tests of one coordinator with a table that answers, fails, loses answers, or was changed by
+/// another coordinator.
 #include "ferryroad/coordination/release/release_coordinator.hpp"
 
 #include "ferryroad/base/random.hpp"
@@ -20,34 +21,34 @@
 constexpr store_milliseconds store_start = 1'000'000;
 constexpr base::duration step = 100ms;
 
-enum class store_manner { answers, down, loses_answers };
+enum class store_behavior { answers, down, loses_answers };
 
-/// A table of one row, and routers that report each tick and hear at once.
+/// A table of one row, and routers that report at each tick and are notified at once.
 struct fixture {
     release_coordinator coordinator;
     coordinator_view view;
     base::monotonic_time now{1h};
-    store_manner store = store_manner::answers;
+    store_behavior store = store_behavior::answers;
     std::optional<release_record> row;
     std::uint64_t row_version = 0;
-    std::vector<release_phase> phases;    ///< Of all writes that took effect.
-    std::vector<release_phase> statuses;  ///< Told to operators.
-    std::vector<release_phase> spread;    ///< Told to all routers at once.
+    std::vector<release_phase> phases;     ///< Phases of all writes that took effect.
+    std::vector<release_phase> statuses;   ///< Phases reported to operators.
+    std::vector<release_phase> announced;  ///< Phases announced to all routers at once.
     std::size_t reads = 0;
     std::size_t reporters = 3;
     std::uint32_t unrepeatable = 0;
     bool clock_known = true;
 
     explicit fixture(base::duration allowed = 30s, std::uint64_t number = 5)
-        : coordinator({order_number(number), pool, v2, allowed}, at_once_seen()) {
+        : coordinator({order_number(number), pool, v2, allowed}, seen_at_once()) {
         view.routers = 3;
         view.listed = {v1, v2};
         view.target_engines = 2;
     }
 
-    static coordinator_tunables at_once_seen() {
+    static coordinator_tunables seen_at_once() {
         coordinator_tunables tunables;
-        tunables.sight_lag = 0ms;
+        tunables.max_order_age = 0ms;
         return tunables;
     }
     void put(const release_record& record) {
@@ -74,16 +75,16 @@
         }
     }
     void run(base::duration period) {
-        for (base::duration gone{}; gone < period; gone += step) {
+        for (base::duration elapsed{}; elapsed < period; elapsed += step) {
             tick();
         }
     }
     void carry_out(const coordinator_action& wanted) {
         if (const auto* told = std::get_if<tell_routers>(&wanted)) {
-            spread.push_back(told->notice.phase);
+            announced.push_back(told->notice.phase);
             return;
         }
-        if (store == store_manner::down) {
+        if (store == store_behavior::down) {
             coordinator.call_failed(now);
             return;
         }
@@ -98,7 +99,7 @@
         if (const auto* told = std::get_if<tell_status>(&wanted)) {
             statuses.push_back(told->phase);
         }
-        if (!done || store == store_manner::loses_answers) {
+        if (!done || store == store_behavior::loses_answers) {
             coordinator.call_failed(now);
         } else if (std::holds_alternative<read_record>(wanted)) {
             ++reads;
@@ -138,13 +139,13 @@
     fixture one;
     one.view.found = trial_verdict::good;
     one.run(26800ms);
-    cr_assert(one.phase() == trial, "the trial lasts until the shift");
+    cr_assert(one.phase() == trial, "the trial lasts until the switchover");
     cr_assert(one.statuses == phases{trial});
     cr_assert(one.row->ordered_after >= store_start && one.row->ordered_after <= store_start + 200);
     one.run(1s);
     cr_assert(one.ended_as(completed));
     cr_assert(one.phases == phases({trial, promoted, completed, completed}));
-    cr_assert(one.spread == phases({promoted, completed}));
+    cr_assert(one.announced == phases({promoted, completed}));
     cr_assert(one.row->replaced == std::set{v1});
     cr_assert(one.statuses == phases({trial, completed}));
 }
@@ -154,7 +155,7 @@
     one.run(3s);
     one.view.found = trial_verdict::bad;
     one.tick();
-    cr_assert(one.spread == phases{rolled_back});
+    cr_assert(one.announced == phases{rolled_back});
     one.run(1s);
     cr_assert(one.ended_as(rolled_back));
     cr_assert(one.row->refused == std::set{v2});
@@ -292,7 +293,7 @@
     next.put(record_of(5, v2, trial));
     next.view.listed = {v2};
     next.run(2s);
-    cr_assert(next.phase() == trial, "nor by one that takes over");
+    cr_assert(next.phase() == trial, "nor by a coordinator that takes over");
 }
 
 Test(release_coordinator, going_back_to_the_version_in_force_is_completed_at_once) {
@@ -331,7 +332,7 @@
     one.run(40s);
     cr_assert(one.phases.empty());
     cr_assert(one.statuses.empty());
-    cr_assert(one.spread.empty());
+    cr_assert(one.announced.empty());
     cr_assert_not(one.coordinator.notice().has_value());
     cr_assert(one.coordinator.done());
     cr_assert_eq(one.reads, 1U);
@@ -350,8 +351,9 @@
             const auto end = phase == rolled_back ? rolled_back : completed;
             cr_assert(one.row->phase == end && one.row->status_told);
             cr_assert(one.coordinator.done());
-            cr_assert_eq(one.statuses.empty(), before.status_told, "told by who wrote it last");
-            cr_assert_eq(one.spread.empty(), before.status_told);
+            cr_assert_eq(one.statuses.empty(), before.status_told,
+                         "reported by the coordinator that wrote the record last");
+            cr_assert_eq(one.announced.empty(), before.status_told);
         }
     }
 }
@@ -369,31 +371,32 @@
 Test(release_coordinator, store_down_nothing_goes_forward_back_is_told) {
     fixture one;
     one.run(2s);
-    one.store = store_manner::down;
+    one.store = store_behavior::down;
     one.view.found = trial_verdict::good;
     one.run(40s);
     cr_assert(one.phase() == trial);
-    cr_assert(one.spread.empty());
-    cr_assert_not(one.coordinator.notice().has_value(), "no grants by what may be outdated");
+    cr_assert(one.announced.empty());
+    cr_assert_not(one.coordinator.notice().has_value(),
+                  "no grants from a record that may be outdated");
     one.view.found = trial_verdict::bad;
     one.tick();
-    cr_assert(one.spread == phases{rolled_back});
+    cr_assert(one.announced == phases{rolled_back});
     cr_assert(one.coordinator.notice()->phase == rolled_back);
     cr_assert(one.coordinator.notice()->refused == std::set{v2});
     one.view.found = trial_verdict::good;
-    one.store = store_manner::answers;
+    one.store = store_behavior::answers;
     one.run(1500ms);
     cr_assert(one.ended_as(rolled_back));
-    cr_assert(one.spread == phases{rolled_back}, "told at once, and once");
+    cr_assert(one.announced == phases{rolled_back}, "announced at once and only once");
 }
 
 Test(release_coordinator, store_down_over_the_deadline_a_good_one_is_completed_late) {
     fixture one;
     one.run(2s);
-    one.store = store_manner::down;
+    one.store = store_behavior::down;
     one.view.found = trial_verdict::good;
     one.run(40s);
-    one.store = store_manner::answers;
+    one.store = store_behavior::answers;
     one.run(2s);
     cr_assert(one.ended_as(completed));
 }
@@ -408,9 +411,9 @@
 
 Test(release_coordinator, store_down_from_the_start_the_first_sight_is_kept) {
     fixture one;
-    one.store = store_manner::down;
+    one.store = store_behavior::down;
     one.run(10s);
-    one.store = store_manner::answers;
+    one.store = store_behavior::answers;
     one.run(1s);
     cr_assert(one.row->ordered_after <= store_start + 200);
 }
@@ -420,9 +423,9 @@
         base::seeded_random random(seed);
         fixture one;
         one.view.found = trial_verdict::good;
-        for (base::duration gone{}; gone < 60s && !one.coordinator.done(); gone += step) {
+        for (base::duration elapsed{}; elapsed < 60s && !one.coordinator.done(); elapsed += step) {
             const bool lost = random.below(2) == 0;
-            one.store = lost ? store_manner::loses_answers : store_manner::answers;
+            one.store = lost ? store_behavior::loses_answers : store_behavior::answers;
             one.tick();
         }
         cr_assert(one.ended_as(completed));
@@ -445,23 +448,23 @@
 Test(release_coordinator, another_that_completed_holds_against_a_roll_back_not_written) {
     fixture one;
     one.run(1s);
-    one.store = store_manner::down;
+    one.store = store_behavior::down;
     one.view.found = trial_verdict::bad;
     one.run(1s);
     release_record other = *one.row;
     other.phase = completed;
     other.replaced = {v1};
     one.put(other);
-    one.store = store_manner::answers;
+    one.store = store_behavior::answers;
     one.run(1s);
     cr_assert(one.ended_as(completed));
-    cr_assert(one.spread == phases({rolled_back, completed}));
+    cr_assert(one.announced == phases({rolled_back, completed}));
 }
 
 Test(release_coordinator, another_that_promoted_does_not_revert_a_roll_back) {
     fixture one;
     one.run(1s);
-    one.store = store_manner::down;
+    one.store = store_behavior::down;
     one.view.found = trial_verdict::bad;
     one.run(1s);
     one.view.found = trial_verdict::good;
@@ -469,10 +472,10 @@
     other.phase = promoted;
     other.replaced = {v1};
     one.put(other);
-    one.store = store_manner::answers;
+    one.store = store_behavior::answers;
     one.run(1s);
     cr_assert(one.ended_as(rolled_back));
-    cr_assert(one.spread == phases{rolled_back});
+    cr_assert(one.announced == phases{rolled_back});
 }
 
 Test(release_coordinator, woken_it_grants_nothing_before_it_has_read) {
@@ -489,7 +492,8 @@
     one.run(1s);
     cr_assert(one.phase() == rolled_back);
     cr_assert(one.coordinator.notice()->phase == rolled_back);
-    cr_assert(one.ended_as(rolled_back), "what the other left is told to operators");
+    cr_assert(one.ended_as(rolled_back),
+              "the phase that the other coordinator recorded is reported to operators");
 }
 
 Test(release_coordinator, woken_with_old_reports_it_steps_not_forward) {
@@ -521,14 +525,14 @@
 Test(release_coordinator, a_roll_back_decided_stays_decided_when_the_evidence_goes) {
     fixture one;
     one.run(1s);
-    one.store = store_manner::down;
+    one.store = store_behavior::down;
     one.reporters = 0;
     one.view.found = trial_verdict::bad;
     one.run(1s);
     one.view.found = trial_verdict::undecided;
     one.run(1s);
     cr_assert(one.coordinator.notice()->phase == rolled_back);
-    one.store = store_manner::answers;
+    one.store = store_behavior::answers;
     one.run(1s);
     cr_assert(one.ended_as(rolled_back));
 }
@@ -567,7 +571,8 @@
     one.clock_known = true;
     one.run(1s);
     cr_assert(one.row.has_value());
-    cr_assert(one.row->ordered_after <= store_start + 200, "its first sight, reckoned back");
+    cr_assert(one.row->ordered_after <= store_start + 200,
+              "calculated back to when the order was first seen");
 }
 
 Test(release_coordinator, an_order_may_be_older_than_its_first_sight) {
@@ -588,13 +593,13 @@
         fixture one;
         one.run(200ms);
         cr_assert(one.statuses.empty());
-        one.store = answer_lost ? store_manner::loses_answers : store_manner::answers;
+        one.store = answer_lost ? store_behavior::loses_answers : store_behavior::answers;
         one.tick();
         cr_assert(one.statuses == phases{trial});
-        one.store = store_manner::answers;
+        one.store = store_behavior::answers;
         release_record other = *one.row;
         other.phase = rolled_back;
-        other.status_told = true;  // By another, a moment before this one told.
+        other.status_told = true;  // Set by another coordinator just before this one reported.
         one.put(other);
         one.run(2s);
         cr_assert(one.statuses == phases({trial, rolled_back}));
--- a/test/coordination/release/release_property_test.cpp
+++ b/test/coordination/release/release_property_test.cpp
@@ -1,6 +1,7 @@
-/// Routers with gates and one to three coordinators take a pool through one or two orders, in
-/// virtual time, under kills, freezes, a store that fails, loses answers and applies writes late,
-/// split views and lost messages. Judged: who permits what, what the record does, how it ends.
+/// Property test of releases: routers with version gates and one to three coordinators take a pool
+/// through one or two orders in virtual time, with kills, freezes, a store that fails, loses
+/// answers and applies writes late, diverging views and lost messages. Checked: which router
+/// permits what, how the record changes, and how the release ends.
 #include "ferryroad/base/random.hpp"
 #include "ferryroad/coordination/release/release_coordinator.hpp"
 #include "ferryroad/coordination/release/version_gate.hpp"
@@ -26,28 +27,30 @@
 constexpr base::duration report_period = 250ms;
 constexpr base::duration allowed = 20s;
 constexpr base::duration longest_message = 100ms;
-/// Of a coordinator that runs, about the record: a reading and a call under way, or a short freeze.
-constexpr base::duration longest_ignorance = 2500ms;
+/// Maximum time that a running coordinator is unaware of a change to the record: a read and a call
+/// in flight, or a short freeze.
+constexpr base::duration longest_unawareness = 2500ms;
 constexpr store_milliseconds store_start = 1'000'000;
-constexpr store_milliseconds store_blur = 20;
+constexpr store_milliseconds store_clock_error = 20;
 
-/// How often what fails, and the truth about the versions ordered.
+/// Fault rates.
 struct world_faults {
     double lost_message = 0;
-    double failed_call = 0;  ///< Without effect.
-    double lost_answer = 0;  ///< Took effect.
-    double late_write = 0;   ///< No answer, takes effect up to 5 s later.
+    double failed_call = 0;  ///< The call has no effect.
+    double lost_answer = 0;  ///< The call took effect, but its answer is lost.
+    double late_write = 0;   ///< No answer arrives, and the write takes effect up to 5 s later.
 };
+/// An order and whether its target is good.
 struct ordered_version {
     release_order order;
     base::monotonic_time given;
     bool good = true;
-    base::duration shows_after = 6s;  ///< From the order until the judge finds it.
+    base::duration shows_after = 6s;  ///< Time from the order until the verdict is available.
 };
 
 class world {
   public:
-    std::vector<std::string> faults;  ///< Invariants that were broken.
+    std::vector<std::string> faults;  ///< Violated invariants.
     world_faults shares;
     std::vector<ordered_version> orders;
 
@@ -69,10 +72,10 @@
             apply_late_writes();
             for (std::size_t index = 0; index < m_routers.size(); ++index) {
                 if (m_now >= m_routers[index].frozen_until) {
-                    live(index);
+                    run_router(index);
                 }
             }
-            judge();
+            check_permissions();
         }
     }
 
@@ -85,12 +88,12 @@
         m_routers[index].frozen_until = m_now + period;
     }
     void cut(std::size_t index, bool is_cut) { m_routers[index].cut = is_cut; }
-    /// The store turns it away; other routers reach it.
-    void turn_away(std::size_t index, bool away) { m_routers[index].turned_away = away; }
-    /// It hears too little to judge by.
+    /// The store rejects this router; other routers reach the store.
+    void set_rejected(std::size_t index, bool away) { m_routers[index].rejected = away; }
+    /// The router receives too little evidence for a verdict.
     void blind(std::size_t index, bool is_blind) { m_routers[index].blind = is_blind; }
     void store_down(bool down) { m_store_down = down; }
-    /// From now on routers take the first, second, ... for the coordinator, by turns.
+    /// From now on, the routers take the first `coordinators` routers for the coordinator, in turn.
     void split(std::size_t coordinators) { m_coordinators = coordinators; }
     void end_faults() {
         shares = {};
@@ -98,7 +101,7 @@
         m_coordinators = 1;
         for (router& one : m_routers) {
             one.cut = false;
-            one.turned_away = false;
+            one.rejected = false;
             one.blind = false;
             one.frozen_until = m_now;
         }
@@ -110,7 +113,8 @@
         return std::all_of(m_routers.begin(), m_routers.end(),
                            [&](const router& one) { return permits(one, version) == wanted; });
     }
-    std::size_t canaries = 0;  ///< Moments at which a router permitted canary requests.
+    /// Number of times that a router was found to permit canary requests.
+    std::size_t canaries = 0;
 
   private:
     enum class outcome : std::uint8_t { done, failed, lost, late };
@@ -140,33 +144,33 @@
         base::monotonic_time next_report{};
         base::duration reading_lag{};
         bool cut = false;
-        bool turned_away = false;
+        bool rejected = false;
         bool blind = false;
         std::map<software_version, base::monotonic_time> listed_at;
-        /// As heard in this life, by the test's own book.
-        std::map<order_number, std::set<release_phase>> heard;
+        /// Phases received since the router started, as recorded by the test.
+        std::map<order_number, std::set<release_phase>> received;
         std::map<order_number, base::monotonic_time> last_grant;
     };
 
     void start(router& one) {
         const auto frozen_until = one.frozen_until;
         const bool cut = one.cut;
-        const bool turned_away = one.turned_away;
+        const bool rejected = one.rejected;
         one = router();
         one.started = m_now;
         one.frozen_until = frozen_until;
         one.cut = cut;
-        one.turned_away = turned_away;
+        one.rejected = rejected;
         one.reading_lag = base::duration(m_random.below(1'000'000'000));
     }
     std::size_t coordinator_of(std::size_t index) const {
         return index < m_coordinators ? index : index % m_coordinators;
     }
     bool reaches_store(const router& one) const {
-        return !m_store_down && !one.cut && !one.turned_away;
+        return !m_store_down && !one.cut && !one.rejected;
     }
 
-    void live(std::size_t index) {
+    void run_router(std::size_t index) {
         router& one = m_routers[index];
         read_tables(one);
         receive(index);
@@ -180,7 +184,7 @@
         if (!reaches_store(one)) {
             return;
         }
-        // At the start both tables are read at once; later orders are seen before their engines.
+        // At the start both tables are read at once; later, orders are seen before their engines.
         const base::duration lag = m_now - one.started < 1s ? base::duration{} : one.reading_lag;
         std::set versions{old_version};
         for (const ordered_version& each : orders) {
@@ -242,13 +246,13 @@
             }
         }
     }
-    void hear(router& one, const message& heard) {
-        const phase_notice& notice = *heard.notice;
-        one.gate.told(notice, heard.report_sent);
-        one.heard[notice.order].insert(notice.phase);
+    void hear(router& one, const message& received) {
+        const phase_notice& notice = *received.notice;
+        one.gate.told(notice, received.report_sent);
+        one.received[notice.order].insert(notice.phase);
         if (notice.phase == release_phase::trial) {
             auto& last = one.last_grant[notice.order];
-            last = std::max(last, heard.report_sent);
+            last = std::max(last, received.report_sent);
         }
     }
 
@@ -282,8 +286,8 @@
         view.listed = {old_version, order->target};
         view.target_engines = 2;
         if (reaches_store(one)) {
-            view.store_now_earliest = store_now() - store_blur;
-            view.store_now_latest = store_now() + store_blur;
+            view.store_now_earliest = store_now() - store_clock_error;
+            view.store_now_latest = store_now() + store_clock_error;
         }
         for (const coordinator_action& action : one.coordinator->tick(view, m_now)) {
             begin(index, action, view.found);
@@ -312,7 +316,7 @@
         const auto* status = std::get_if<tell_status>(&action);
         const auto ended = m_final_at.find(one.coordinator->order().number);
         expect(status == nullptr || is_final(status->phase) || ended == m_final_at.end() ||
-                   m_now - ended->second <= longest_ignorance,
+                   m_now - ended->second <= longest_unawareness,
                "operators were told that an order runs which had ended long ago");
         expect(!one.call.has_value(), "a second call while one was under way");
         flight call;
@@ -370,7 +374,7 @@
         call.read = m_row;
         call.row_version = m_row_version;
     }
-    /// A write that was sent may take effect although nobody waits for it any more.
+    /// A write that was sent may take effect although its caller no longer waits for it.
     void drop_call(router& one) {
         if (one.call && !one.call->took_effect && one.call->how != outcome::failed) {
             if (const auto* write = std::get_if<write_record>(&one.call->action)) {
@@ -407,7 +411,8 @@
     }
     void take_status(const tell_status& told) {
         if (!m_row || told.target != m_row->target) {
-            return;  // Of an order that was overtaken meanwhile; it names its target.
+            return;  // The status belongs to an order that was superseded in the meantime; it names
+                     // its target.
         }
         if (is_final(told.phase)) {
             expect(told.phase == m_row->phase, "operators were told what isn't recorded");
@@ -415,32 +420,33 @@
         m_status = told.phase;
     }
 
-    /// What every router that runs permits at this moment.
-    void judge() {
+    /// Checks what every running router permits at this moment.
+    void check_permissions() {
         for (const router& one : m_routers) {
             if (m_now < one.frozen_until) {
                 continue;
             }
             for (const ordered_version& each : orders) {
-                judge(one, each.order);
+                check_permissions(one, each.order);
             }
         }
     }
-    /// Of an engine of that version, where one is in the router's list.
+    /// @return what the router permits for an engine of that version, or `none` if its list has no
+    /// such engine.
     permission permits(const router& one, const software_version& version) const {
         const auto listed = one.listed_at.find(version);
         return listed == one.listed_at.end()
                    ? permission::none
                    : one.gate.permits(pool, version, listed->second, m_now);
     }
-    void judge(const router& one, const release_order& order) {
+    void check_permissions(const router& one, const release_order& order) {
         const permission permitted = permits(one, order.target);
         if (permitted == permission::none) {
             return;
         }
-        const auto heard = one.heard.find(order.number);
+        const auto received = one.received.find(order.number);
         const auto has = [&](release_phase phase) {
-            return heard != one.heard.end() && heard->second.contains(phase);
+            return received != one.received.end() && received->second.contains(phase);
         };
         if (permitted == permission::all) {
             const bool recorded_as_done = !m_back_at.contains(order.number);
@@ -462,8 +468,8 @@
         expect(back == m_back_at.end() || m_now - back->second <= slack,
                "canary requests long after the record said rolled back");
     }
-    /// An order that was completed and overtaken: a router that starts later knows its version
-    /// as any other.
+    /// @return whether the order was completed and superseded; a router that starts later treats
+    /// its version like any other.
     bool completed_before(const release_order& order) const {
         return m_row && m_row->order > order.number && !m_row->refused.contains(order.target);
     }
@@ -486,13 +492,13 @@
     std::optional<release_phase> m_status;
 };
 
-/// One of the things that fail or recover, at random.
-void disturb(world& fleet, base::seeded_random& schedule) {
+/// Injects a random fault or recovery.
+void inject_fault(world& fleet, base::seeded_random& schedule) {
     const std::size_t victim = schedule.below(fleet.size());
     switch (schedule.below(10)) {
         case 0:
         case 1:
-            fleet.kill(victim % 3);  // Those that may lead.
+            fleet.kill(victim % 3);  // Only routers that may be coordinators.
             break;
         case 2:
             fleet.freeze(victim, base::duration(schedule.below(12'000'000'000)));
@@ -512,7 +518,7 @@
             }
             break;
         case 7:
-            fleet.turn_away(victim % 3, schedule.below(2) == 0);
+            fleet.set_rejected(victim % 3, schedule.below(2) == 0);
             break;
         case 8:
             fleet.blind(victim % 3, schedule.below(2) == 0);
@@ -562,7 +568,7 @@
             if (round == second_at) {
                 fleet.give(schedule.below(2) == 0, base::duration(schedule.below(22'000'000'000)));
             }
-            disturb(fleet, schedule);
+            inject_fault(fleet, schedule);
             fleet.run(base::duration(schedule.below(2'500'000'000)));
             RC_ASSERT(first_fault(fleet) == "");
         }
--- a/test/coordination/release/types_test.cpp
+++ b/test/coordination/release/types_test.cpp
@@ -1,4 +1,4 @@
-/// The release record comes back as it was written, and bad ones are refused.
+/// Tests of the encoding of the release record: it round-trips, and malformed text is refused.
 #include "ferryroad/coordination/release/types.hpp"
 
 #include "ferryroad/base/random.hpp"
@@ -22,7 +22,7 @@
             {software_version("")}};
 }
 
-/// @return the sample's text with one part of it replaced.
+/// @return the encoded sample with one part replaced.
 std::string changed(const std::string& from, const std::string& to) {
     std::string text = encode(sample(release_phase::trial));
     const std::size_t at = text.find(from);
--- a/test/coordination/release/version_gate_test.cpp
+++ b/test/coordination/release/version_gate_test.cpp
@@ -1,5 +1,5 @@
-/// Who may get what: with no order, under each phase, at a start, and when notices come in any
-/// order.
+/// Tests of which requests a version may get: without an order, in each phase, at a start, and when
+/// notices arrive in any order.
 #include "ferryroad/coordination/release/version_gate.hpp"
 
 #include <criterion/criterion.h>
@@ -19,7 +19,7 @@
     return base::monotonic_time(1h + since_start);
 }
 
-/// A router's gate, with v1 in force since long ago.
+/// The gate of a router at which v1 has been in force for a long time.
 struct fixture {
     version_gate gate;
 
@@ -37,11 +37,11 @@
             {pool, order_number(number), target, phase, std::move(refused), std::move(replaced)},
             at(when));
     }
-    /// Of an engine that was listed at 0 s.
+    /// @return the permission of an engine that was first listed at 0 s.
     permission of(const software_version& version, base::duration now = 1s) const {
         return gate.permits(pool, version, at(0s), at(now));
     }
-    /// v2 ordered and its engines listed beside v1's.
+    /// @return a fixture with an order for v2, whose engines are listed beside those of v1.
     static fixture ordered() {
         fixture one;
         one.order(5, v2);
@@ -126,7 +126,7 @@
     cr_assert(one.of(v2, 4s) == all);
     one.order(6, v3);
     one.tell(6, v3, release_phase::trial, 5s, {v2});
-    cr_assert(one.of(v3, 5s) == canary, "of that order only");
+    cr_assert(one.of(v3, 5s) == canary, "the stop applies to that order only");
 }
 
 Test(version_gate, promoted_and_completed_shut_out_what_is_replaced) {
@@ -263,7 +263,7 @@
     gate.order({order_number(5), pool, v2, 60s});
     gate.listed(pool, {v2}, at(0s));
     cr_assert(gate.permits(pool, v2, at(0s), at(0s)) == all);
-    cr_assert(gate.under_way(pool), "it asks");
+    cr_assert(gate.under_way(pool), "the router sends reports");
     gate.told({pool, order_number(5), v2, release_phase::rolled_back, {v2}, {}}, at(1s));
     cr_assert(gate.permits(pool, v2, at(0s), at(1s)) == none);
 }
--- a/test/coordination/rollout/naming_record_test.cpp
+++ b/test/coordination/rollout/naming_record_test.cpp
@@ -1,4 +1,4 @@
-/// The naming record comes back as it was written, and bad ones are refused.
+/// Tests of the encoding of the naming record: it round-trips, and malformed text is refused.
 #include "ferryroad/coordination/rollout/naming_record.hpp"
 
 #include "ferryroad/base/random.hpp"
--- a/test/coordination/rollout/recount_test.cpp
+++ b/test/coordination/rollout/recount_test.cpp
@@ -1,5 +1,6 @@
-/// A step decides what a plain recount of the fleet, made anew for each engine, decides: for small
-/// fleets in all their states, and for one of the size that the product is designed for.
+/// Compares the decisions of a rollout step with a reference model that counts the whole fleet
+/// again for each engine: small fleets in all their states, and one of the size that the product is
+/// designed for.
 #include "ferryroad/base/random.hpp"
 #include "ferryroad/coordination/rollout/weights_rollout.hpp"
 
@@ -25,8 +26,8 @@
 constexpr std::uint64_t newest = 3;
 const rollout_tunables tunables;
 
-/// What is known of an engine that was begun.
-struct begun_engine {
+/// State of a started engine.
+struct started_engine {
     bool calling = false;
     bool unanswered = false;
     bool ready = false;
@@ -44,10 +45,11 @@
     base::duration longest{};
 };
 
-/// Decides as the rollout does, and counts all engines anew for each decision.
-struct plain_recount {
-    std::map<base::engine_name, begun_engine> begun;
-    rollout_pace pace{tunables.pace};  ///< No load ends by a report: its estimate stays.
+/// Reference model: decides like the rollout, but counts all engines again for each decision.
+struct recount_model {
+    std::map<base::engine_name, started_engine> started;
+    rollout_pace pace{
+        tunables.pace};  ///< No load ends with a report, so its estimate never changes.
 
     counts count(const std::string& model, const std::vector<engine_view>& engines) const {
         counts all;
@@ -56,8 +58,8 @@
                 continue;
             }
             ++all.total;
-            const auto found = begun.find(one.name);
-            if (found != begun.end()) {
+            const auto found = started.find(one.name);
+            if (found != started.end()) {
                 const bool unanswered = found->second.unanswered;
                 all.loading += unanswered ? 0 : 1;
                 all.unanswered += unanswered ? 1 : 0;
@@ -75,28 +77,29 @@
     bool may_expose(const counts& all, base::duration outdated_for) const {
         const double elapsed =
             base::to_seconds(outdated_for) / base::to_seconds(tunables.order_within);
-        return all.loading + all.unanswered < pace.most_exposed(all.total, elapsed);
+        return all.loading + all.unanswered < pace.max_exposed(all.total, elapsed);
     }
     void drop(const std::vector<engine_view>& engines) {
         for (const engine_view& one : engines) {
-            const auto found = begun.find(one.name);
-            if (found != begun.end() && !found->second.calling && one.version >= newest) {
-                begun.erase(found);
+            const auto found = started.find(one.name);
+            if (found != started.end() && !found->second.calling && one.version >= newest) {
+                started.erase(found);
             }
         }
     }
     std::vector<const engine_view*> by_urgency(const std::vector<engine_view>& engines) const {
         std::vector<const engine_view*> outdated;
         for (const engine_view& one : engines) {
-            if (one.version < newest && !begun.contains(one.name)) {
+            if (one.version < newest && !started.contains(one.name)) {
                 outdated.push_back(&one);
             }
         }
         std::map<std::string, bool> hurried;
         for (const engine_view* one : outdated) {
             const counts all = hurried.contains(one->model) ? counts{} : count(one->model, engines);
-            hurried.try_emplace(one->model, pace.hurries(all.total, all.waiting,
-                                                         tunables.order_within - all.longest));
+            hurried.try_emplace(one->model,
+                                pace.is_behind_schedule(all.total, all.waiting,
+                                                        tunables.order_within - all.longest));
         }
         const auto rank = [&](const engine_view* one) {
             const auto unread = static_cast<std::int64_t>(one->unread_tokens);
@@ -112,7 +115,7 @@
         auto outdated = by_urgency(engines);
         std::map<base::zone_name, std::size_t> zones;
         for (const engine_view& one : engines) {
-            zones[one.zone] += begun.contains(one.name) ? 1 : 0;
+            zones[one.zone] += started.contains(one.name) ? 1 : 0;
         }
         while (!outdated.empty()) {
             const auto next = std::min_element(outdated.begin(), outdated.end(),
@@ -125,15 +128,15 @@
             const counts all = count(one->model, engines);
             if (all.loading < allowed(all) && may_expose(all, one->outdated_for)) {
                 ++zones[one->zone];
-                begun[one->name] = {};
+                started[one->name] = {};
             }
         }
     }
-    /// @return the engines that get their lost order once more, in this order.
+    /// @return the engines whose lost order is sent again, in this order.
     std::vector<base::engine_name> repeat(const std::vector<engine_view>& engines,
                                           base::monotonic_time now) {
         std::vector<std::pair<base::monotonic_time, base::engine_name>> lost;
-        for (const auto& [name, state] : begun) {
+        for (const auto& [name, state] : started) {
             if (state.unanswered && state.ready && !state.calling) {
                 lost.emplace_back(state.last_order, name);
             }
@@ -148,7 +151,7 @@
             const bool first_orders = all.waiting > 0 && may_expose(all, all.longest);
             const std::size_t kept =
                 first_orders ? std::max(all.loading, allowed(all)) : all.loading;
-            if (kept + all.repeating < pace.most(all.total)) {
+            if (kept + all.repeating < pace.max_loading(all.total)) {
                 sent(name, now);
                 repeated.push_back(name);
             }
@@ -156,7 +159,7 @@
         return repeated;
     }
     void sent(const base::engine_name& name, base::monotonic_time now) {
-        begun_engine& state = begun.at(name);
+        started_engine& state = started.at(name);
         state.calling = true;
         state.ready = false;
         state.ordering = true;
@@ -164,17 +167,17 @@
     }
 };
 
-/// A fleet under a rollout, followed by the plain recount.
-struct play {
+/// A fleet under a rollout, and the reference model that follows it.
+struct simulation {
     base::seeded_random random;
     std::vector<engine_view> engines;
     weights_rollout rollout{tunables};
-    plain_recount plain;
+    recount_model plain;
     base::monotonic_time now = start;
-    std::size_t begun = 0;
+    std::size_t started = 0;
     std::size_t repeated = 0;
 
-    play(std::size_t size, std::size_t models, std::uint64_t seed) : random(seed) {
+    simulation(std::size_t size, std::size_t models, std::uint64_t seed) : random(seed) {
         for (std::size_t index = 0; index < models; ++index) {
             rollout.want("m" + std::to_string(index), newest);
         }
@@ -196,10 +199,10 @@
         return static_cast<std::size_t>(random.unit() * static_cast<double>(bound));
     }
 
-    /// @return whether both decided the same.
+    /// @return whether both made the same decisions.
     bool step() {
         std::set<base::engine_name> held;
-        for (const auto& [name, state] : plain.begun) {
+        for (const auto& [name, state] : plain.started) {
             held.insert(name);
         }
         plain.drop(engines);
@@ -207,10 +210,10 @@
         const auto again = plain.repeat(engines, now);
         const auto steps = rollout.next(engines, now);
         for (const engine_view& one : engines) {
-            if (rollout.under_way(one.name) != plain.begun.contains(one.name)) {
+            if (rollout.under_way(one.name) != plain.started.contains(one.name)) {
                 return false;
             }
-            begun += plain.begun.contains(one.name) && !held.contains(one.name) ? 1 : 0;
+            started += plain.started.contains(one.name) && !held.contains(one.name) ? 1 : 0;
         }
         repeated += again.size();
         if (!same_repeats(steps, again)) {
@@ -218,14 +221,14 @@
         }
         follow(steps);
         answer();
-        pass();
+        advance();
         return true;
     }
     bool same_repeats(const rollout_steps& steps,
                       const std::vector<base::engine_name>& again) const {
         std::vector<base::engine_name> sent;
         for (const send_order& one : steps.orders) {
-            if (plain.begun.at(one.engine).unanswered) {
+            if (plain.started.at(one.engine).unanswered) {
                 sent.push_back(one.engine);
             }
         }
@@ -236,12 +239,12 @@
             plain.sent(one.engine, now);
         }
         for (const ask_report& one : steps.reports) {
-            plain.begun.at(one.engine).calling = true;
+            plain.started.at(one.engine).calling = true;
         }
     }
-    /// Some of the calls that are under way get their answer now.
+    /// Answers some of the calls in flight.
     void answer() {
-        for (auto& [name, state] : plain.begun) {
+        for (auto& [name, state] : plain.started) {
             if (!state.calling || random.unit() < 0.25) {
                 continue;
             }
@@ -254,7 +257,7 @@
             }
         }
     }
-    void answer_order(const base::engine_name& name, begun_engine& state) {
+    void answer_order(const base::engine_name& name, started_engine& state) {
         state.ordering = false;
         const double drawn = random.unit();
         if (drawn < 0.4) {
@@ -268,13 +271,13 @@
             rollout.ordered(name, order_answer::refused, now);
         }
     }
-    /// Time passes, and some engines are seen with the newest weights.
-    void pass() {
+    /// Advances the time; some engines are then seen with the newest weights.
+    void advance() {
         now += period;
         for (engine_view& one : engines) {
             one.outdated_for += period;
-            const auto found = plain.begun.find(one.name);
-            const bool loading = found != plain.begun.end() && found->second.loading;
+            const auto found = plain.started.find(one.name);
+            const bool loading = found != plain.started.end() && found->second.loading;
             if (loading && random.unit() < 0.1) {
                 one.version = newest;
             }
@@ -286,24 +289,24 @@
 
 Test(recount, small_fleets_in_all_states) {
     std::size_t repeated = 0;
-    const bool same = rc::check("a step decides as a plain recount", [&] {
+    const bool same = rc::check("a step decides like the reference model", [&] {
         const std::size_t size = *rc::gen::inRange<std::size_t>(1, 60);
         const std::size_t models = *rc::gen::inRange<std::size_t>(1, 4);
-        play at(size, models, *rc::gen::arbitrary<std::uint64_t>());
+        simulation at(size, models, *rc::gen::arbitrary<std::uint64_t>());
         for (int step = 0; step < 40; ++step) {
             RC_ASSERT(at.step());
         }
-        RC_ASSERT(at.begun > 0U);
+        RC_ASSERT(at.started > 0U);
         repeated += at.repeated;
     });
     cr_assert(same);
-    cr_assert(repeated > 0, "lost orders were sent once more in some of the plays");
+    cr_assert(repeated > 0, "lost orders were sent again in some of the runs");
 }
 
 Test(recount, a_fleet_of_1200_outdated_engines) {
-    play at(1200, 14, 20261203);
+    simulation at(1200, 14, 20261203);
     for (int step = 0; step < 4; ++step) {
         cr_assert(at.step(), "step %d", step);
     }
-    cr_assert(at.begun > 0);
+    cr_assert(at.started > 0);
 }
--- a/test/coordination/rollout/rollout_pace_test.cpp
+++ b/test/coordination/rollout/rollout_pace_test.cpp
@@ -1,4 +1,4 @@
-/// As few engines as possible load at once, and as many as it takes to be in time.
+/// As few engines as possible load at once, but as many as needed to be in time.
 #include "ferryroad/coordination/rollout/rollout_pace.hpp"
 
 #include <criterion/criterion.h>
@@ -38,20 +38,20 @@
 
 Test(rollout_pace, hurries_where_the_usual_share_would_be_late) {
     const rollout_pace pace;
-    cr_assert_not(pace.hurries(18, 18, 6s));
-    cr_assert(pace.hurries(18, 18, 3s));
-    cr_assert_not(pace.hurries(18, 3, 0s));
-    cr_assert_not(pace.hurries(1, 1, -1s));
+    cr_assert_not(pace.is_behind_schedule(18, 18, 6s));
+    cr_assert(pace.is_behind_schedule(18, 18, 3s));
+    cr_assert_not(pace.is_behind_schedule(18, 3, 0s));
+    cr_assert_not(pace.is_behind_schedule(1, 1, -1s));
 }
 
 Test(rollout_pace, more_may_be_about_to_load_as_time_runs_out) {
     const rollout_pace pace;
-    cr_assert_eq(pace.most(18), 6);
-    cr_assert_eq(pace.most(1), 1);
-    cr_assert_eq(pace.most_exposed(18, 0), 6);
-    cr_assert_eq(pace.most_exposed(18, 0.5), 12);
-    cr_assert_eq(pace.most_exposed(18, 0.99), 17);
-    cr_assert_eq(pace.most_exposed(18, 1), 18);
-    cr_assert_eq(pace.most_exposed(18, 7), 18);
-    cr_assert_eq(pace.most_exposed(2, 0.5), 1);
+    cr_assert_eq(pace.max_loading(18), 6);
+    cr_assert_eq(pace.max_loading(1), 1);
+    cr_assert_eq(pace.max_exposed(18, 0), 6);
+    cr_assert_eq(pace.max_exposed(18, 0.5), 12);
+    cr_assert_eq(pace.max_exposed(18, 0.99), 17);
+    cr_assert_eq(pace.max_exposed(18, 1), 18);
+    cr_assert_eq(pace.max_exposed(18, 7), 18);
+    cr_assert_eq(pace.max_exposed(2, 0.5), 1);
 }
--- a/test/coordination/rollout/unanswered_orders_test.cpp
+++ b/test/coordination/rollout/unanswered_orders_test.cpp
@@ -1,10 +1,11 @@
-/// New weights were named while the platform's workers left eight to nine of ten orders unanswered
-/// and carried them out 2 to 12 s later. Each unanswered order kept its engine among the few that
-/// load at once, and that engine was ordered again each second: 44 of 46 orders went unanswered,
-/// one engine got nine, and only ten of 18 engines had got any order when the 8 s were over within
-/// which requests may begin on older weights. In calm all 18 are ordered within 6 s. So an engine
-/// that may have lost its order must not hold the place of one that has had none, though not all
-/// engines may come to load at the same moment either.
+/// Guards against a rollout that stalls when orders get no answer. In one run, the engines left
+/// eight to nine of ten orders unanswered and carried them out 2 to 12 s later. Each engine with an
+/// unanswered order kept its place among the few that load at once and was ordered again each
+/// second: 44 of 46 orders were unanswered, one engine got nine, and only ten of 18 engines had
+/// been ordered at all after the 8 s within which requests may start on older weights. Without
+/// faults all 18 are ordered within 6 s. An engine that may have lost its order must therefore not
+/// take the place of one that has had none, but not all engines may start to load at the same
+/// moment either.
 #include "ferryroad/base/random.hpp"
 #include "ferryroad/coordination/rollout/weights_rollout.hpp"
 
@@ -25,7 +26,7 @@
 constexpr base::monotonic_time start{100s};
 constexpr base::duration step_period = 50ms;
 constexpr base::duration load_time = 700ms;
-/// What an order that is never answered is waited for.
+/// Timeout of an order that is never answered.
 constexpr base::duration call_limit = 700ms;
 const std::string model = "m";
 const rollout_tunables tunables;
@@ -36,12 +37,13 @@
     base::monotonic_time due{};
 };
 
-/// An engine whose orders may be carried out late, when what they expect is looked at.
+/// An engine that may carry out orders late; their expectation is checked when they are carried
+/// out.
 struct late_engine {
     std::uint64_t version = 1;
     std::uint64_t orders_taken = 0;
     std::uint64_t loads = 0;
-    std::uint64_t loading = 0;  ///< Version being loaded; 0: none.
+    std::uint64_t loading = 0;  ///< Version being loaded; 0 if none.
     base::monotonic_time loaded_at{};
     std::vector<late_order> late;
 
@@ -67,7 +69,7 @@
         }
         std::erase_if(late, [&](const late_order& one) { return now >= one.due; });
     }
-    /// @return whether it loads, or may begin to at any time.
+    /// @return whether the engine is loading or may start to load at any time.
     bool may_load() const {
         const bool passes = std::any_of(late.begin(), late.end(), [&](const late_order& one) {
             return one.expected_orders == orders_taken;
@@ -144,7 +146,7 @@
     std::size_t may_load() const {
         return count([](const late_engine& one) { return one.may_load(); });
     }
-    /// @return when the last engine got its first order.
+    /// @return the time until the last engine got its first order.
     base::duration all_ordered() const {
         base::duration last{};
         for (const auto& [name, after] : first_order) {
@@ -154,7 +156,7 @@
     }
 
     double unanswered;
-    bool carried_out = true;  ///< Orders without answer are, late.
+    bool carried_out = true;  ///< Whether unanswered orders are carried out, late.
     base::seeded_random random;
     weights_rollout rollout{tunables};
     base::monotonic_time now = start;
@@ -170,7 +172,7 @@
 }  // namespace
 
 Test(unanswered_orders, every_engine_gets_its_first_order_in_time) {
-    // The last ones may still wait for a turn of those before them: a call and a report.
+    // The last engines may still wait for a call and a report of those before them.
     const base::duration bound = tunables.order_within + 1s;
     for (const std::size_t size : {1U, 2U, 3U, 7U, 18U, 300U}) {
         for (const double unanswered : {0.5, 0.8, 0.9, 1.0}) {
--- a/test/coordination/rollout/weights_rollout_test.cpp
+++ b/test/coordination/rollout/weights_rollout_test.cpp
@@ -1,5 +1,6 @@
-/// A rollout brings every engine to the newest weights, a few at a time, whatever answers are
-/// lost, and never orders twice what may still be carried out under the same expectation.
+/// Tests of the rollout: it brings every engine to the newest weights, a few at a time, even if
+/// answers are lost, and never sends a second order while an earlier one with the same expectation
+/// may still be carried out.
 #include "ferryroad/coordination/rollout/weights_rollout.hpp"
 
 #include "ferryroad/base/random.hpp"
@@ -21,11 +22,11 @@
 constexpr base::monotonic_time start{100s};
 const std::string model = "m";
 
-/// An engine that takes orders as the platform's do.
+/// An engine that handles orders like the platform's engines.
 struct simulated_engine {
     std::uint64_t version = 1;
     std::uint64_t orders_taken = 0;
-    std::uint64_t loading = 0;  ///< Version being loaded; 0: none.
+    std::uint64_t loading = 0;  ///< Version being loaded; 0 if none.
     base::monotonic_time loaded_at{};
     std::uint64_t loads = 0;
 
@@ -64,7 +65,7 @@
         return seen;
     }
 
-    /// One step of the rollout, with answers lost in `loss` of the calls.
+    /// Runs one step of the rollout, with answers lost in a fraction `loss` of the calls.
     void step(weights_rollout& rollout, double loss) {
         for (auto& [name, engine] : engines) {
             engine.settle(now);
