--- a/src/ferryroad/coordination/quota/quota_homes.cpp
+++ b/src/ferryroad/coordination/quota/quota_homes.cpp
@@ -42,7 +42,7 @@
     ++one.unanswered_asks;
     if (one.unanswered_asks >= m_tunables.silent_asks) {
         one.last_exclusion = std::clamp(2 * one.last_exclusion, m_tunables.first_exclusion,
-                                         m_tunables.longest_exclusion);
+                                        m_tunables.longest_exclusion);
         one.excluded_until = now + one.last_exclusion;
     }
 }
--- a/src/ferryroad/coordination/quota/quota_ledger.hpp
+++ b/src/ferryroad/coordination/quota/quota_ledger.hpp
@@ -41,10 +41,10 @@
     /// nor which routers exist. It then grants no burst, and only the parts of the routers that ask
     /// it.
     base::duration startup_period = std::chrono::seconds(4);
-    /// Refused requests are told to retry one after the other, at most this long after the next
-    /// possible grant. A longer queue would never be served, because new requests keep arriving: a
-    /// caller told to wait for its end would be late and as likely to be refused again as one that
-    /// retries at once.
+    /// Refused requests get retry delays such that they retry one after the other, at most this
+    /// long after the next possible grant. A longer queue would never be served, because new
+    /// requests keep arriving: a caller that waits for its end would be late and as likely to be
+    /// refused again as one that retries at once.
     base::duration longest_retry_queue = std::chrono::milliseconds(500);
     /// Limits of the retry delay. A delay much longer than callers wait would be useless.
     base::duration shortest_retry_after = std::chrono::milliseconds(50);
--- a/src/ferryroad/coordination/release/release_coordinator.hpp
+++ b/src/ferryroad/coordination/release/release_coordinator.hpp
@@ -110,7 +110,7 @@
                      base::monotonic_time now);
     /// Outcome of `write_record`: written, with this row version.
     void record_written(std::uint64_t row_version, base::monotonic_time now);
-    /// Outcome of `tell_status`: operators were told.
+    /// Outcome of `tell_status`: the status was reported.
     void status_told(base::monotonic_time now);
     /// A call failed, its answer was lost, or the row had changed. The record is read again before
     /// the next step.
@@ -161,7 +161,7 @@
     bool is_ours() const { return m_record && m_record->order == m_order.number; }
     bool is_open() const { return is_ours() && !is_final(m_record->phase); }
     bool superseded() const { return m_record && m_record->order > m_order.number; }
-    /// @return whether the end is recorded and is the last status that operators were told.
+    /// @return whether the end is recorded and is the last status reported to operators.
     bool end_is_reported() const;
     /// @return whether the target is listed and no other version that may be served is.
     bool target_is_only_version(const coordinator_view& view) const;
--- a/test/coordination/release/release_coordinator_test.cpp
+++ b/test/coordination/release/release_coordinator_test.cpp
@@ -293,7 +293,7 @@
     next.put(record_of(5, v2, trial));
     next.view.listed = {v2};
     next.run(2s);
-    cr_assert(next.phase() == trial, "nor by a coordinator that takes over");
+    cr_assert(next.phase() == trial, "nor by one that takes over the release");
 }
 
 Test(release_coordinator, going_back_to_the_version_in_force_is_completed_at_once) {
@@ -377,7 +377,7 @@
     cr_assert(one.phase() == trial);
     cr_assert(one.announced.empty());
     cr_assert_not(one.coordinator.notice().has_value(),
-                  "no grants from a record that may be outdated");
+                  "no grants by a record that may be outdated");
     one.view.found = trial_verdict::bad;
     one.tick();
     cr_assert(one.announced == phases{rolled_back});
--- a/test/coordination/release/version_gate_test.cpp
+++ b/test/coordination/release/version_gate_test.cpp
@@ -126,7 +126,7 @@
     cr_assert(one.of(v2, 4s) == all);
     one.order(6, v3);
     one.tell(6, v3, release_phase::trial, 5s, {v2});
-    cr_assert(one.of(v3, 5s) == canary, "the stop applies to that order only");
+    cr_assert(one.of(v3, 5s) == canary, "the stop is part of that order only");
 }
 
 Test(version_gate, promoted_and_completed_shut_out_what_is_replaced) {
