--- a/src/ferryroad/coordination/claim/closing.cpp
+++ b/src/ferryroad/coordination/claim/closing.cpp
@@ -32,7 +32,7 @@
 }
 
 action claim_closing::on(const write_conflicted& conflicted, const circumstances& at) {
-    return judge(conflicted.row, at);
+    return evaluate(conflicted.row, at);
 }
 
 action claim_closing::on(const write_lost&, const circumstances&) {
@@ -44,16 +44,16 @@
 }
 
 action claim_closing::on(const row_read& found, const circumstances& at) {
-    return judge(found.row, at);
+    return evaluate(found.row, at);
 }
 
 action claim_closing::on(const read_failed& failed, const circumstances&) {
     return read(std::max(delays_.next(), failed.retry_after.value_or(base::duration::zero())));
 }
 
-action claim_closing::judge(const stored_row& row, const circumstances& at) {
+action claim_closing::evaluate(const stored_row& row, const circumstances& at) {
     if (row.version == row_version(0)) {
-        return judge_absent(at);
+        return evaluate_absent(at);
     }
     const auto found = try_decode(row.value);
     const bool ours = found && found->attempt == terms_.attempt;
@@ -67,7 +67,7 @@
     return write(row.version, at, {});
 }
 
-action claim_closing::judge_absent(const circumstances& at) {
+action claim_closing::evaluate_absent(const circumstances& at) {
     if (!releases()) {
         return write(row_version(0), at, {});
     }
--- a/src/ferryroad/coordination/claim/closing.hpp
+++ b/src/ferryroad/coordination/claim/closing.hpp
@@ -49,8 +49,8 @@
     action on(const row_read& read, const circumstances& at);
     action on(const read_failed& failed, const circumstances& at);
 
-    action judge(const stored_row& row, const circumstances& at);
-    action judge_absent(const circumstances& at);
+    action evaluate(const stored_row& row, const circumstances& at);
+    action evaluate_absent(const circumstances& at);
     action write(row_version expected, const circumstances& at, base::duration delay);
     action read(base::duration delay);
     action end(claim_outcome result) const;
--- a/src/ferryroad/coordination/claim/opening.cpp
+++ b/src/ferryroad/coordination/claim/opening.cpp
@@ -53,7 +53,7 @@
 }
 
 action claim_opening::on(const write_conflicted& conflicted, const circumstances& at) {
-    return judge(conflicted.row, at);
+    return evaluate(conflicted.row, at);
 }
 
 action claim_opening::on(const write_lost&, const circumstances&) {
@@ -66,7 +66,7 @@
 }
 
 action claim_opening::on(const row_read& read, const circumstances& at) {
-    return judge(read.row, at);
+    return evaluate(read.row, at);
 }
 
 action claim_opening::on(const read_failed& failed, const circumstances&) {
@@ -75,7 +75,7 @@
     return read_again(reads_left_, std::move(otherwise));
 }
 
-action claim_opening::judge(const stored_row& row, const circumstances& at) {
+action claim_opening::evaluate(const stored_row& row, const circumstances& at) {
     if (row.version == row_version(0)) {
         return insert(row.version, at);
     }
@@ -85,7 +85,7 @@
         return end_with(claim_outcome::in_progress);
     }
     if (found->attempt != terms_.attempt) {
-        return judge_other(row, *found, at);
+        return evaluate_other(row, *found, at);
     }
     if (found->state != record_state::in_progress) {
         // Another process took this attempt for dead and closed it before it was granted.
@@ -96,8 +96,8 @@
     return granted;
 }
 
-action claim_opening::judge_other(const stored_row& row, const record& other,
-                                  const circumstances& at) {
+action claim_opening::evaluate_other(const stored_row& row, const record& other,
+                                     const circumstances& at) {
     if (is_expired(other, at.unix_ms, limits_)) {
         return insert(row.version, at);
     }
@@ -112,11 +112,11 @@
     if (other.state == record_state::unknown) {
         return end_with(claim_outcome::unknown);
     }
-    return judge_in_progress(row, other, at);
+    return evaluate_in_progress(row, other, at);
 }
 
-action claim_opening::judge_in_progress(const stored_row& row, const record& other,
-                                        const circumstances& at) {
+action claim_opening::evaluate_in_progress(const stored_row& row, const record& other,
+                                           const circumstances& at) {
     if (is_abandoned(other, at, limits_)) {
         return close_as_unknown(row, other, at);
     }
--- a/src/ferryroad/coordination/claim/opening.hpp
+++ b/src/ferryroad/coordination/claim/opening.hpp
@@ -50,9 +50,10 @@
     action on(const row_read& read, const circumstances& at);
     action on(const read_failed& failed, const circumstances& at);
 
-    action judge(const stored_row& row, const circumstances& at);
-    action judge_other(const stored_row& row, const record& other, const circumstances& at);
-    action judge_in_progress(const stored_row& row, const record& other, const circumstances& at);
+    action evaluate(const stored_row& row, const circumstances& at);
+    action evaluate_other(const stored_row& row, const record& other, const circumstances& at);
+    action evaluate_in_progress(const stored_row& row, const record& other,
+                                const circumstances& at);
     action insert(row_version expected, const circumstances& at);
     action close_as_unknown(const stored_row& row, record other, const circumstances& at);
     action read_again(std::uint32_t& left, ended otherwise);
--- a/src/ferryroad/coordination/configuration/replica.cpp
+++ b/src/ferryroad/coordination/configuration/replica.cpp
@@ -39,7 +39,7 @@
 replica::replica(log_limits limits) : limits_(limits) {}
 
 void replica::on_revision_heard(base::revision revision) {
-    heard_ = std::max(heard_, revision);
+    newest_known_ = std::max(newest_known_, revision);
 }
 
 std::vector<applied_change> replica::on_change(change received) {
@@ -51,7 +51,7 @@
     buffered_.emplace(revision, std::move(received));
     std::vector<applied_change> steps = apply_buffered();
     // Drop the changes that are furthest ahead: they are the cheapest to pull again.
-    while (buffered_.size() > limits_.early_changes) {
+    while (buffered_.size() > limits_.buffered_changes) {
         buffered_.erase(std::prev(buffered_.end()));
     }
     return steps;
--- a/src/ferryroad/coordination/configuration/replica.hpp
+++ b/src/ferryroad/coordination/configuration/replica.hpp
@@ -45,9 +45,9 @@
     const snapshot& held() const { return held_; }
     /// @return the newest revision that any process is known to hold; at least the revision held
     /// here.
-    base::revision heard() const { return heard_; }
+    base::revision newest_known() const { return newest_known_; }
     /// @return whether a newer revision than the held one is known.
-    bool needs_pull() const { return heard_ > held_.revision; }
+    bool needs_pull() const { return newest_known_ > held_.revision; }
 
     /// @return the steps after `revision`, or nothing if some of them are no longer stored.
     std::optional<std::vector<applied_change>> steps_after(base::revision revision) const;
@@ -58,7 +58,7 @@
 
     log_limits limits_;
     snapshot held_;
-    base::revision heard_;
+    base::revision newest_known_;
     std::deque<change> changes_;        ///< Consecutive; the last one produced the held revision.
     std::deque<applied_change> steps_;  ///< Consecutive steps of this replica.
     std::map<base::revision, change> buffered_;  ///< Received out of order.
--- a/src/ferryroad/coordination/configuration/types.hpp
+++ b/src/ferryroad/coordination/configuration/types.hpp
@@ -88,7 +88,7 @@
     /// gets a snapshot.
     std::size_t replica_changes = 256;
     /// Number of changes buffered because they were received before their predecessors.
-    std::size_t early_changes = 64;
+    std::size_t buffered_changes = 64;
 };
 
 }  // namespace ferryroad::coordination::configuration
--- a/src/ferryroad/coordination/release/release_coordinator.cpp
+++ b/src/ferryroad/coordination/release/release_coordinator.cpp
@@ -151,7 +151,7 @@
     return found;
 }
 
-bool release_coordinator::sees_bad(const coordinator_view& view) const {
+bool release_coordinator::has_bad_evidence(const coordinator_view& view) const {
     std::size_t bad_reports = 0;
     for (const auto& [router, heard] : m_reports) {
         bad_reports += heard.report.saw_bad ? 1 : 0;
@@ -200,7 +200,7 @@
 }
 
 void release_coordinator::check_for_rollback(const coordinator_view& view) {
-    m_rolling_back = m_rolling_back || (is_open() && sees_bad(view));
+    m_rolling_back = m_rolling_back || (is_open() && has_bad_evidence(view));
 }
 
 std::optional<coordinator_action> release_coordinator::next_call(const coordinator_view& view,
--- a/src/ferryroad/coordination/release/release_coordinator.hpp
+++ b/src/ferryroad/coordination/release/release_coordinator.hpp
@@ -139,7 +139,7 @@
 
     void record_first_seen(const coordinator_view& view, base::monotonic_time now);
     void check_for_rollback(const coordinator_view& view);
-    bool sees_bad(const coordinator_view& view) const;
+    bool has_bad_evidence(const coordinator_view& view) const;
     report_summary summarize_reports(const coordinator_view& view, base::monotonic_time now) const;
     base::duration elapsed(const coordinator_view& view, base::monotonic_time now) const;
     base::duration switchover_start() const;
--- a/src/ferryroad/coordination/rollout/weights_rollout.cpp
+++ b/src/ferryroad/coordination/rollout/weights_rollout.cpp
@@ -87,7 +87,7 @@
             return true;
         }
         const bool done = seen->second->version >= wanted(seen->second->model);
-        const bool silent = now - entry.second.since > m_tunables.give_up;
+        const bool silent = now - entry.second.since > m_tunables.unresponsive_after;
         return !entry.second.call_under_way && (done || silent);
     });
 }
@@ -314,7 +314,8 @@
     const bool working = report.busy || state.stage == phase::loading;
     if (working) {
         state.next_call = now + m_tunables.look_period;
-        const bool lost_track = !report.busy && now - state.since > m_tunables.give_up / 2;
+        const bool lost_track =
+            !report.busy && now - state.since > m_tunables.unresponsive_after / 2;
         state.stage = lost_track ? phase::ready : state.stage;
         return;
     }
--- a/src/ferryroad/coordination/rollout/weights_rollout.hpp
+++ b/src/ferryroad/coordination/rollout/weights_rollout.hpp
@@ -99,7 +99,7 @@
     /// order.
     base::duration unanswered_poll_period = std::chrono::milliseconds(300);
     /// An engine that has not answered for this long no longer counts as loading.
-    base::duration give_up = std::chrono::seconds(6);
+    base::duration unresponsive_after = std::chrono::seconds(6);
 };
 
 /// State machine of the rollout of all models. Not thread-safe.
--- a/test/coordination/configuration/replica_test.cpp
+++ b/test/coordination/configuration/replica_test.cpp
@@ -38,7 +38,7 @@
 
 void assert_follows(const replica& held, const model_table& table) {
     RC_ASSERT(held.held().content == table.state_at(held.revision()));
-    RC_ASSERT(held.heard() >= held.revision());
+    RC_ASSERT(held.newest_known() >= held.revision());
 }
 
 /// Checks that each step of the replica starts at the revision where the step before it ended.
@@ -163,5 +163,5 @@
     cr_assert_eq(held.revision().value, 0);
     cr_assert(held.needs_pull());
     cr_assert_eq(held.on_change({base::revision(1), {}, {}, {}}).size(),
-                 1 + small_limits.early_changes);
+                 1 + small_limits.buffered_changes);
 }
--- a/test/coordination/rollout/recount_test.cpp
+++ b/test/coordination/rollout/recount_test.cpp
@@ -221,7 +221,7 @@
         }
         follow(steps);
         answer();
-        advance_time();
+        pass();
         return true;
     }
     bool same_repeats(const rollout_steps& steps,
@@ -272,7 +272,7 @@
         }
     }
     /// Advances the time; some engines are then seen with the newest weights.
-    void advance_time() {
+    void pass() {
         now += period;
         for (engine_view& one : engines) {
             one.outdated_for += period;
