--- a/test/coordination/claim/claim_test.cpp
+++ b/test/coordination/claim/claim_test.cpp
@@ -121,7 +121,7 @@
     cr_assert_not(end.maybe_recorded);
 }
 
-Test(claim, an_answer_that_stays_lost_grants_nothing) {
+Test(claim, repeatedly_lost_answers_grant_nothing) {
     claim_opening opening(mine);
     opening.begin(at());
     action next = opening.handle(write_lost{}, at());
@@ -142,7 +142,7 @@
     cr_assert_eq(std::get<ended>(next).result, claim_outcome::in_progress);
 }
 
-Test(claim, a_finished_outcome_replaces_a_mark_of_unknown) {
+Test(claim, a_finished_outcome_replaces_unknown) {
     claim_closing closing(mine, now, close_finished{{200, "", "done"}}, row_version(4));
     closing.begin(at());
     record marked = other_record(record_state::unknown);
@@ -154,7 +154,7 @@
     cr_assert_eq(try_decode(*write.value)->state, record_state::finished);
 }
 
-Test(claim, a_release_leaves_another_attempts_row_alone) {
+Test(claim, a_release_does_not_touch_another_attempts_row) {
     claim_closing closing(mine, now, close_released{}, row_version(4));
     closing.begin(at());
     const stored_row stored{row_version(9), encode(other_record(record_state::in_progress))};
--- a/test/coordination/configuration/commit_test.cpp
+++ b/test/coordination/configuration/commit_test.cpp
@@ -157,7 +157,7 @@
     }));
 }
 
-Test(commit, one_of_those_who_expect_a_revision_wins) {
+Test(commit, one_of_several_commits_to_a_revision_wins) {
     cr_assert(rc::check([] {
         model_table table;
         const int before = *rc::gen::inRange(0, 6);
@@ -183,7 +183,7 @@
     }));
 }
 
-Test(commit, a_repeat_after_others_is_still_the_same_change) {
+Test(commit, a_repeated_operation_is_recognized_after_others) {
     model_table table;
     operator_run first = make_run(1, std::nullopt);
     first.step = first.process.on_head(table.head(), first.router.held());
@@ -199,7 +199,7 @@
     cr_assert_eq(std::get<already_committed>(first.step).revision.value, 1);
 }
 
-Test(commit, without_a_difference_there_is_no_revision) {
+Test(commit, a_change_without_difference_makes_no_revision) {
     model_table table;
     commit_plainly(table, {{resource_key("a"), "1"}}, small_limits);
     const snapshot own{base::revision(1), table.state_at(base::revision(1))};
@@ -213,7 +213,7 @@
     cr_assert(std::holds_alternative<unchanged>(process.on_head(table.head(), own)));
 }
 
-Test(commit, a_head_read_before_the_replica_moved_on_is_read_again) {
+Test(commit, a_head_older_than_the_replica_is_read_again) {
     model_table table;
     const versioned_head old = table.head();
     commit_plainly(table, {{resource_key("a"), "1"}}, small_limits);
--- a/test/coordination/configuration/confirmation_clock_test.cpp
+++ b/test/coordination/configuration/confirmation_clock_test.cpp
@@ -20,14 +20,14 @@
     cr_assert(!confirmation_clock(10s).confirmed(at(0s)));
 }
 
-Test(confirmation_clock, lapses_counted_from_the_question) {
+Test(confirmation_clock, expires_counted_from_the_request) {
     confirmation_clock clock(10s);
     clock.on_head_known(revision(3), at(5s), revision(3));
     cr_assert(clock.confirmed(at(15s)));
     cr_assert(!clock.confirmed(at(16s)));
 }
 
-Test(confirmation_clock, a_head_not_yet_held_confirms_once_it_is) {
+Test(confirmation_clock, a_newer_head_confirms_once_it_is_held) {
     confirmation_clock clock(10s);
     clock.on_head_known(revision(4), at(5s), revision(3));
     cr_assert(!clock.confirmed(at(6s)));
@@ -36,7 +36,7 @@
     cr_assert(!clock.confirmed(at(16s)));
 }
 
-Test(confirmation_clock, an_older_answer_takes_nothing_back) {
+Test(confirmation_clock, an_older_answer_revokes_nothing) {
     confirmation_clock clock(10s);
     clock.on_head_known(revision(3), at(9s), revision(3));
     clock.on_head_known(revision(3), at(2s), revision(3));
--- a/test/coordination/configuration/replica_test.cpp
+++ b/test/coordination/configuration/replica_test.cpp
@@ -54,7 +54,7 @@
 
 }  // namespace
 
-Test(replica, holds_the_log_whatever_order_changes_come_in) {
+Test(replica, holds_the_log_for_any_order_of_changes) {
     cr_assert(rc::check([] {
         const model_table table = random_log(30);
         replica held(small_limits);
@@ -69,7 +69,7 @@
     }));
 }
 
-Test(replica, snapshots_never_take_it_back) {
+Test(replica, snapshots_never_move_it_back) {
     cr_assert(rc::check([] {
         const model_table table = random_log(30);
         replica held(small_limits);
@@ -139,7 +139,7 @@
     }));
 }
 
-Test(replica, steps_are_given_whole_or_not_at_all) {
+Test(replica, steps_are_returned_completely_or_not_at_all) {
     cr_assert(rc::check([] {
         const model_table table = random_log(30);
         replica held(small_limits);
@@ -155,7 +155,7 @@
     }));
 }
 
-Test(replica, keeps_few_early_changes) {
+Test(replica, buffers_a_bounded_number_of_changes) {
     replica held(small_limits);
     for (std::uint64_t revision = 100; revision > 1; --revision) {
         held.on_change({base::revision(revision), {}, {}, {}});
--- a/test/coordination/lease/lease_holder_test.cpp
+++ b/test/coordination/lease/lease_holder_test.cpp
@@ -76,7 +76,7 @@
     cr_assert_not(decode(malformed_rows[*index]).has_value(), "%s", malformed_rows[*index].c_str());
 }
 
-Test(lease_holder, counts_from_the_sending) {
+Test(lease_holder, counts_the_lease_from_when_the_write_was_sent) {
     bench test;
     test.acquire();
     test.now += 4s;
@@ -86,7 +86,7 @@
     cr_assert_not(test.holder.token(test.now + 6s).has_value());
 }
 
-Test(lease_holder, an_answer_after_the_end_gives_nothing) {
+Test(lease_holder, an_answer_after_the_end_grants_nothing) {
     bench test;
     test.acquire();
     test.now += 11s;
@@ -105,7 +105,7 @@
     cr_assert_not(test.holder.token(test.now + 9s).has_value(), "counted from the reading back");
 }
 
-Test(lease_holder, waits_out_another_from_when_it_was_first_seen) {
+Test(lease_holder, waits_for_the_full_duration_from_when_another_hold_was_first_seen) {
     bench test;
     const lease_identity other{"router 2", base::incarnation(1)};
     test.expect<read_row>();
@@ -125,14 +125,14 @@
                   "a renewal starts the wait anew");
 }
 
-Test(lease_holder, an_earlier_process_of_the_same_name_is_another_holder) {
+Test(lease_holder, an_earlier_process_with_the_same_name_is_another_holder) {
     bench test;
     test.expect<read_row>();
     test.answer(row_read{{row_version(5), row_of({self.name, base::incarnation(6)}, 4)}});
     test.expect<wait_until>();
 }
 
-Test(lease_holder, gives_up_before_it_releases) {
+Test(lease_holder, stops_acting_before_it_releases) {
     bench test;
     test.acquire();
     test.answer(write_committed{row_version(1)});
@@ -145,7 +145,7 @@
     cr_assert(test.expect<wait_until>().when == base::monotonic_time::max());
 }
 
-Test(lease_holder, loses_it_when_another_has_it) {
+Test(lease_holder, loses_the_lease_when_another_holder_has_it) {
     bench test;
     test.acquire();
     test.answer(write_committed{row_version(1)});
@@ -155,7 +155,7 @@
     cr_assert_not(test.holder.token(test.now).has_value());
 }
 
-Test(lease_holder, keeps_it_through_refusals_until_its_time) {
+Test(lease_holder, keeps_the_lease_through_refusals_until_it_ends) {
     bench test;
     test.acquire();
     test.answer(write_committed{row_version(1)});
@@ -171,7 +171,7 @@
     }
 }
 
-Test(lease_holder, a_malformed_row_is_left_alone) {
+Test(lease_holder, a_malformed_row_is_not_overwritten) {
     bench test;
     test.expect<read_row>();
     test.answer(row_read{{row_version(5), "nonsense"}});
@@ -206,7 +206,7 @@
     cr_assert_eq(at.holder.stored_note(at.now), 1U);
 }
 
-Test(lease_holder, knows_by_when_the_one_before_had_stopped) {
+Test(lease_holder, knows_when_the_predecessor_had_stopped_at_the_latest) {
     bench at;
     at.expect<read_row>();
     at.answer(row_read{{row_version(5), row_of({"router 2", base::incarnation(3)}, 4)}});
@@ -219,7 +219,7 @@
     cr_assert(at.holder.predecessor_end() <= seen + 10200ms);
 }
 
-Test(lease_holder, a_released_lease_was_held_until_it_was_seen_to_be_free) {
+Test(lease_holder, a_released_lease_counts_as_held_until_it_was_seen_free) {
     bench at;
     at.expect<read_row>();
     at.answer(
@@ -231,7 +231,7 @@
     cr_assert(at.holder.predecessor_end() == seen);
 }
 
-Test(lease_holder, the_next_holder_reads_what_the_one_before_left) {
+Test(lease_holder, the_next_holder_reads_the_note_of_its_predecessor) {
     bench at;
     at.expect<read_row>();
     const lease_record left{std::nullopt, base::fencing_token(4), 10s, 99, 777};
--- a/test/coordination/lease/lease_property_test.cpp
+++ b/test/coordination/lease/lease_property_test.cpp
@@ -203,7 +203,7 @@
     cr_assert_gt(acquisitions, 100, "the property must see the lease change hands");
 }
 
-Test(lease, a_clock_beyond_the_bound_is_seen_by_the_check) {
+Test(lease, the_check_detects_a_clock_beyond_the_drift_bound) {
     // Validates the check: with clock rates that differ by 40%, two processes do believe at once
     // that they hold the lease.
     std::size_t most = 0;
@@ -218,7 +218,7 @@
     cr_assert_geq(most, 2);
 }
 
-Test(lease, renewed_without_a_break_while_all_is_well) {
+Test(lease, is_renewed_without_a_gap_without_faults) {
     contest leases(3, 7, 0.01);
     leases.run_for(120s);
     cr_assert_eq(leases.acquisitions, 1);
--- a/test/coordination/membership/failure_detector_test.cpp
+++ b/test/coordination/membership/failure_detector_test.cpp
@@ -117,7 +117,7 @@
     }
 }
 
-Test(failure_detector, refutes_what_is_said_of_itself) {
+Test(failure_detector, refutes_accusations_of_itself) {
     bench test;
     for (const member_state state : {suspect, dead, leaving}) {
         const std::uint64_t accused = test.detector.self().incarnation.value;
@@ -132,7 +132,7 @@
     cr_assert_eq(test.detector.self().incarnation.value, 5001);
 }
 
-Test(failure_detector, an_accused_sender_hears_it_in_the_ack) {
+Test(failure_detector, an_accused_sender_gets_the_accusation_in_the_ack) {
     bench test;
     test.hear({member("other", 99, "a", 10, alive)});
     test.hear({member("other", 99, "a", 10, suspect)});
@@ -165,7 +165,7 @@
     cr_assert(asked == std::vector<std::uint16_t>({20, 21, 22}));
 }
 
-Test(failure_detector, passes_a_ping_on_and_its_ack_back) {
+Test(failure_detector, forwards_a_ping_and_its_ack) {
     bench test;
     test.hear({member("target", 2)});
     actions todo = test.hear({}, ping_request{77, base::router_name("target")});
@@ -181,7 +181,7 @@
     cr_assert(test.hear({}, ack{sequence}).empty(), "an ack is passed on once");
 }
 
-Test(failure_detector, a_late_tick_proves_nothing) {
+Test(failure_detector, a_late_tick_is_no_evidence) {
     bench test;
     test.hear({member("b", 2)});
     test.tick_until(sends<ping>);
@@ -204,7 +204,7 @@
     cr_assert(test.detector.on_tick(test.now + 10s).empty());
 }
 
-Test(failure_detector, notices_are_bounded_and_the_higher_version_holds) {
+Test(failure_detector, notices_are_bounded_and_the_higher_version_wins) {
     bench test;
     test.detector.spread({"engine", 2, false}, test.now);
     test.detector.spread({"engine", 1, true}, test.now);
--- a/test/coordination/membership/group_properties_test.cpp
+++ b/test/coordination/membership/group_properties_test.cpp
@@ -167,7 +167,7 @@
     cr_assert_eq(group.false_deaths(), 0);
 }
 
-Test(group, a_cut_between_two_is_bridged_by_others) {
+Test(group, a_broken_link_between_two_members_is_bridged_by_others) {
     simulated_group group(6, 5);
     group.start_all();
     cr_assert(group.run_until([&] { return group.converged(); }, settle_limit).has_value());
--- a/test/coordination/quota/quota_homes_test.cpp
+++ b/test/coordination/quota/quota_homes_test.cpp
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-Test(quota_homes, all_agree_whatever_the_order_of_the_list) {
+Test(quota_homes, the_order_of_the_list_does_not_matter) {
     quota_homes one;
     quota_homes other;
     auto names = routers(20);
@@ -54,7 +54,7 @@
     }
 }
 
-Test(quota_homes, none_where_nobody_is_known_or_all_are_silent) {
+Test(quota_homes, no_home_if_no_router_is_known_or_all_are_excluded) {
     quota_homes homes;
     cr_assert_not(homes.home_of(tenant, start).has_value());
     homes.declare(routers(1));
@@ -62,7 +62,7 @@
     cr_assert_not(homes.home_of(tenant, start).has_value());
 }
 
-Test(quota_homes, lost_answers_change_nothing_and_three_in_a_row_do_for_a_moment) {
+Test(quota_homes, three_lost_answers_in_a_row_exclude_a_home_for_a_while) {
     quota_homes homes;
     homes.declare(routers(5));
     const auto home = *homes.home_of(tenant, start);
@@ -74,7 +74,7 @@
     cr_assert(homes.home_of(tenant, start + 2s) == home);
 }
 
-Test(quota_homes, who_stays_silent_is_asked_less_and_less_often) {
+Test(quota_homes, a_home_that_stays_unresponsive_is_asked_less_often) {
     quota_homes homes;
     homes.declare(routers(5));
     const auto home = *homes.home_of(tenant, start);
@@ -87,7 +87,7 @@
     cr_assert(homes.home_of(tenant, start + 6s) == home);
 }
 
-Test(quota_homes, who_is_gone_from_the_list_is_forgotten) {
+Test(quota_homes, routers_removed_from_the_list_are_forgotten) {
     quota_homes homes;
     homes.declare(routers(5));
     const auto home = *homes.home_of(tenant, start);
--- a/test/coordination/quota/quota_ledger_test.cpp
+++ b/test/coordination/quota/quota_ledger_test.cpp
@@ -57,7 +57,7 @@
     cr_assert(ledger.decide(first, ask_for(1), at(1001ms)).granted);
 }
 
-Test(quota_ledger, those_refused_come_back_one_after_the_other) {
+Test(quota_ledger, refused_requests_retry_one_after_the_other) {
     quota_ledger ledger = ledger_after_startup();
     ledger.decide(first, ask_for(600), at(0s));
     const auto one = ledger.decide(first, ask_for(400), at(0s));
@@ -69,7 +69,7 @@
 /// The limit of a tenant is permanently lowered to a third of its load. Each caller retries once
 /// after the delay that it was told, or after 5 s if the delay is longer. The full rate must be
 /// granted, and no caller that is granted may have waited for seconds.
-Test(quota_ledger, who_comes_back_below_a_lowered_limit_is_answered_soon_or_not_at_all) {
+Test(quota_ledger, retries_below_a_lowered_limit_are_granted_soon_or_not_at_all) {
     struct coming {
         base::duration at{};
         base::duration since{};
@@ -101,7 +101,7 @@
     cr_assert_leq(base::to_milliseconds(longest), 600);
 }
 
-Test(quota_ledger, nobody_is_told_to_come_back_later_than_callers_wait) {
+Test(quota_ledger, retry_delays_never_exceed_what_callers_wait) {
     quota_ledger ledger = ledger_after_startup();
     for (int index = 0; index < 1000; ++index) {
         const auto verdict = ledger.decide(first, ask_for(400), at(0s));
@@ -120,13 +120,13 @@
     cr_assert_not(ledger.decide(first, ask_for(500), at(1s)).granted);
 }
 
-Test(quota_ledger, who_takes_over_grants_no_burst) {
+Test(quota_ledger, a_ledger_that_takes_over_grants_no_burst) {
     quota_ledger ledger = ledger_after_startup();
     cr_assert(ledger.decide(first, ask_for(100, 1), at(0s)).granted);
     cr_assert_not(ledger.decide(first, ask_for(1, 1), at(0s)).granted);
 }
 
-Test(quota_ledger, a_process_that_has_just_started_grants_the_parts_of_those_that_ask) {
+Test(quota_ledger, a_new_process_grants_only_the_parts_of_the_asking_routers) {
     quota_ledger ledger(at(0s));
     ledger.expect_routers(10);
     cr_assert(ledger.decide(first, ask_for(10), at(0s)).granted);
@@ -135,7 +135,7 @@
     cr_assert_not(ledger.decide(first, ask_for(1), at(1s)).granted);
 }
 
-Test(quota_ledger, the_part_of_those_who_ask_elsewhere_is_not_granted) {
+Test(quota_ledger, the_part_of_routers_that_ask_elsewhere_is_not_granted) {
     quota_ledger ledger = ledger_after_startup();
     // Half of the ten routers that used to ask another ledger now ask this one.
     double granted = 0;
@@ -149,7 +149,7 @@
     cr_assert_gt(granted, 0.45 * 10 * 1000);
 }
 
-Test(quota_ledger, the_part_of_those_who_fall_silent_is_not_granted) {
+Test(quota_ledger, the_part_of_missing_routers_is_not_granted) {
     quota_ledger ledger = ledger_after_startup();
     const auto run = [&](int routers, base::duration from, base::duration to) {
         double granted = 0;
@@ -167,7 +167,7 @@
     cr_assert_gt(granted, 0.45 * 5 * 1000);
 }
 
-Test(quota_ledger, tells_how_many_ask_and_forgets_tenants_in_time) {
+Test(quota_ledger, reports_the_number_of_askers_and_removes_idle_tenants) {
     quota_ledger ledger = ledger_after_startup();
     ledger.decide(router(1), ask_for(1), at(0s));
     cr_assert_eq(ledger.decide(router(2), ask_for(1), at(0s)).askers, 2);
@@ -177,7 +177,7 @@
     cr_assert_eq(ledger.size(), 0);
 }
 
-Test(quota_ledger, a_clock_that_stands_still_grants_nothing_more) {
+Test(quota_ledger, a_stopped_clock_grants_nothing_more) {
     quota_ledger ledger = ledger_after_startup();
     ledger.decide(first, ask_for(500), at(0s));
     for (int index = 0; index < 100; ++index) {
--- a/test/coordination/quota/quota_property_test.cpp
+++ b/test/coordination/quota/quota_property_test.cpp
@@ -194,7 +194,7 @@
     });
 }
 
-Test(quota_fleet, a_home_that_is_killed_and_comes_back_grants_no_second_burst) {
+Test(quota_fleet, a_restarted_home_grants_no_second_burst) {
     each_fleet([](fleet& routers, std::size_t) {
         routers.run(6s, 4);
         const std::size_t home = routers.home();
@@ -206,7 +206,7 @@
     });
 }
 
-Test(quota_fleet, a_herd_that_starts_again_grants_no_second_burst) {
+Test(quota_fleet, a_restart_of_all_routers_grants_no_second_burst) {
     each_fleet([](fleet& routers, std::size_t) {
         routers.run(6s, 4);
         routers.start_all();
@@ -215,7 +215,7 @@
     });
 }
 
-Test(quota_fleet, lost_datagrams_neither_grant_nor_refuse_much) {
+Test(quota_fleet, lost_datagrams_have_little_effect) {
     each_fleet([](fleet& routers, std::size_t) {
         routers.lose(0.05);
         routers.run(15s, 0.6);
@@ -227,7 +227,7 @@
 
 /// Each side grants the whole rate until the routers of the other side count as missing, and only
 /// its part from then on.
-Test(quota_fleet, two_sides_of_a_cut_grant_little_more_than_one) {
+Test(quota_fleet, two_sides_of_a_partition_grant_little_more_than_the_limit) {
     each_fleet([](fleet& routers, std::size_t size) {
         routers.run(10s, 4);
         routers.split(size / 2);
@@ -239,7 +239,7 @@
     });
 }
 
-Test(quota_fleet, both_sides_of_a_cut_are_served_below_the_limit) {
+Test(quota_fleet, both_sides_of_a_partition_are_served_below_the_limit) {
     each_fleet([](fleet& routers, std::size_t size) {
         routers.run(10s, 0.6);
         routers.split(size / 2);
--- a/test/coordination/reading/reading_simulation_test.cpp
+++ b/test/coordination/reading/reading_simulation_test.cpp
@@ -373,7 +373,7 @@
     cr_assert_eq(calls[1], calls[2]);
 }
 
-Test(reading_simulation, a_store_that_anyone_reaches_keeps_all_current) {
+Test(reading_simulation, a_store_that_any_router_reaches_keeps_all_copies_current) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         fleet all(24, 4, seed);
         all.run_for(5s);
@@ -390,7 +390,7 @@
     }
 }
 
-Test(reading_simulation, an_outage_makes_no_copy_young_and_ends_soon) {
+Test(reading_simulation, an_outage_makes_no_copy_newer_and_copies_recover_soon) {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         fleet all(70, 4, seed);
         all.run_for(5s);
@@ -406,7 +406,7 @@
     }
 }
 
-Test(reading_simulation, all_readers_lost_at_once_is_a_bounded_burst) {
+Test(reading_simulation, losing_all_readers_at_once_causes_a_bounded_burst) {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         fleet all(70, 4, seed);
         all.run_for(5s);
@@ -424,7 +424,7 @@
     }
 }
 
-Test(reading_simulation, two_groups_that_do_not_hear_each_other_each_stay_current) {
+Test(reading_simulation, both_sides_of_a_partition_stay_current) {
     fleet all(16, 2, 3);
     all.run_for(5s);
     for (std::size_t a = 0; a < 8; ++a) {
@@ -437,7 +437,7 @@
     cr_assert_leq(all.oldest().count(), base::duration(2900ms).count());
 }
 
-Test(reading_simulation, random_faults_break_nothing) {
+Test(reading_simulation, invariants_hold_under_random_faults) {
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         fleet all(6 + seed % 30, 1 + seed % 4, seed);
         all.run_for(3s);
@@ -507,7 +507,7 @@
 
 /// Load pattern: the owner rejects its readers, and without a limit each router below them would
 /// ask the owner itself.
-Test(reading_simulation, routers_that_stand_in_for_the_readers_are_few_in_any_fleet) {
+Test(reading_simulation, fallback_readers_are_few_in_any_fleet) {
     const selector_settings settings;
     // The fallback readers chosen by rank and about as many chosen at random, each at the pace of a
     // reader.
@@ -520,7 +520,7 @@
 }
 
 /// Load pattern: 7 in 100 machines lose power, among them the sources of many others.
-Test(reading_simulation, routers_whose_source_ends_take_another_router_s_copy) {
+Test(reading_simulation, routers_whose_source_fails_use_another_router) {
     fleet all(985, 5, 7);
     all.run_for(4s);
     std::uint64_t before = all.owner_calls();
--- a/test/coordination/reading/reading_tree_test.cpp
+++ b/test/coordination/reading/reading_tree_test.cpp
@@ -60,7 +60,7 @@
     cr_assert(!place.parent);
 }
 
-Test(reading_tree, holds_at_any_size) {
+Test(reading_tree, is_valid_at_any_size) {
     for (const shape& each : {shape{2, 1, 1}, shape{8, 4, 2}, shape{69, 4, 3}, shape{79, 3, 3},
                               shape{370, 10, 4}, shape{370, 1, 3}}) {
         const auto members = fleet(each.routers, each.zones);
@@ -84,7 +84,7 @@
     }
 }
 
-Test(reading_tree, readers_stand_in_different_zones) {
+Test(reading_tree, readers_are_in_different_zones) {
     const auto members = fleet(40, 4);
     std::set<base::zone_name> zones;
     for (const tree_member& one : readers_among(members, {})) {
@@ -164,14 +164,14 @@
     }
 }
 
-Test(reading_tree, readers_stand_in_different_regions) {
+Test(reading_tree, readers_are_in_different_regions) {
     const auto members = fleet_of_regions(76, 6, 3);
     const auto readers = readers_among(members, {});
     cr_assert_eq(readers.size(), 2);
     cr_assert(readers[0].region != readers[1].region);
 }
 
-Test(reading_tree, a_region_that_is_gone_and_one_of_one_zone_change_nothing_for_others) {
+Test(reading_tree, a_lost_region_and_a_region_of_one_zone_do_not_affect_others) {
     auto members = fleet_of_regions(77, 7, 3);  // The regions have 3, 2 and 2 zones.
     const auto dark = readers_among(members, {}).front().region;
     std::erase_if(members, [&](const tree_member& one) { return one.region == dark; });
@@ -185,7 +185,7 @@
     cr_assert_eq(readers, 2);
 }
 
-Test(reading_tree, one_region_is_as_none) {
+Test(reading_tree, a_single_region_equals_no_regions) {
     for (const std::size_t zones : {1, 3, 40}) {
         const auto told = fleet_of_regions(120, zones, 1);
         const auto untold = fleet(120, zones);
@@ -193,7 +193,7 @@
     }
 }
 
-Test(reading_tree, machines_with_wide_links_stand_above_the_others) {
+Test(reading_tree, machines_with_faster_links_rank_higher) {
     std::vector<tree_member> members;
     std::size_t wide = 0;
     for (int index = 0; index < 200; ++index) {
@@ -210,7 +210,7 @@
     }
 }
 
-Test(reading_tree, links_that_are_nearly_alike_are_ranked_by_name_alone) {
+Test(reading_tree, similar_links_are_ranked_by_name_only) {
     const auto narrow = make_member(base::router_name("a"), {}, {}, link_capacity(20));
     const auto wider = make_member(base::router_name("a"), {}, {}, link_capacity(25));
     cr_assert_eq(narrow.rank, wider.rank);
--- a/test/coordination/reading/source_selector_test.cpp
+++ b/test/coordination/reading/source_selector_test.cpp
@@ -52,21 +52,21 @@
 
 }  // namespace
 
-Test(source_selector, a_router_that_knows_nobody_reads_the_owner) {
+Test(source_selector, a_router_without_members_reads_the_owner) {
     fixture with(false);
     source_selector selector(with.self, {}, with.reach, with.random);
     cr_assert(!selector.choose(start));
     cr_assert(selector.reads_owner());
 }
 
-Test(source_selector, follows_the_tree_while_all_is_well) {
+Test(source_selector, follows_the_tree_without_faults) {
     fixture reader(true);
     cr_assert(reader.selector().reads_owner());
     fixture other(false);
     cr_assert(!other.selector().reads_owner());
 }
 
-Test(source_selector, leaves_a_silent_source_and_comes_back) {
+Test(source_selector, leaves_an_unresponsive_source_and_returns_to_it) {
     fixture with(false);
     source_selector selector = with.selector();
     const source first = selector.choose(start);
@@ -79,7 +79,7 @@
     cr_assert(selector.choose(start + 10s) == first);
 }
 
-Test(source_selector, another_router_takes_the_place_of_a_silent_one_while_there_is_time) {
+Test(source_selector, another_router_replaces_an_unresponsive_one_while_there_is_time) {
     fixture with(false);
     source_selector selector = with.selector();
     const source first = selector.choose(start);
@@ -89,7 +89,7 @@
     cr_assert(second != first);
 }
 
-Test(source_selector, a_source_that_stays_silent_is_asked_less_often) {
+Test(source_selector, a_source_that_stays_unresponsive_is_asked_less_often) {
     fixture with(false);
     source_selector selector = with.selector();
     const source first = selector.choose(start);
@@ -100,7 +100,7 @@
     cr_assert(selector.choose(start + 9s + 17s) == first);
 }
 
-Test(source_selector, an_old_copy_is_left_for_another) {
+Test(source_selector, a_stale_source_is_left_for_another) {
     fixture with(false);
     source_selector selector = with.selector();
     const source first = selector.choose(start);
@@ -124,7 +124,7 @@
     cr_assert(selector.reads_owner());
 }
 
-Test(source_selector, a_reader_that_the_owner_turns_away_asks_others) {
+Test(source_selector, a_reader_that_the_owner_rejects_asks_others) {
     fixture with(true);
     source_selector selector = with.selector();
     selector.failed(std::nullopt, start);
@@ -134,7 +134,7 @@
     cr_assert(selector.choose(start + 1s) == std::nullopt, "tries the owner again soon");
 }
 
-Test(source_selector, a_router_that_reaches_nobody_keeps_asking) {
+Test(source_selector, a_router_that_reaches_no_source_keeps_asking) {
     fixture with(false);
     source_selector selector = with.selector();
     base::monotonic_time now = start;
@@ -149,7 +149,7 @@
     cr_assert_eq(asked.size(), with.members.size(), "every other router and the owner");
 }
 
-Test(source_selector, in_an_outage_the_tree_is_kept_to_and_the_owner_tried) {
+Test(source_selector, in_an_outage_the_tree_is_followed_and_the_owner_is_tried) {
     fixture with(false);
     source_selector selector = with.selector();
     base::monotonic_time now = start;
@@ -170,7 +170,7 @@
     cr_assert_leq(owner_calls, 12);
 }
 
-Test(source_selector, a_source_found_in_need_is_kept_to_for_a_while) {
+Test(source_selector, a_temporary_source_is_kept_for_a_while) {
     fixture with(false);
     source_selector selector = with.selector();
     const source first = selector.choose(start);
@@ -186,7 +186,7 @@
     cr_assert(selector.choose(later + 4s) == first);
 }
 
-Test(source_selector, what_is_old_of_one_table_stays_old_when_another_is_current) {
+Test(source_selector, staleness_of_one_table_does_not_depend_on_another) {
     fixture with(false);
     source_selector engines = with.selector();
     source_selector declarations = with.selector();
@@ -197,7 +197,7 @@
     cr_assert(declarations.choose(start) == first);
 }
 
-Test(source_selector, silence_concerns_all_tables) {
+Test(source_selector, an_unresponsive_source_is_excluded_for_all_tables) {
     fixture with(false);
     source_selector engines = with.selector();
     source_selector declarations = with.selector();
--- a/test/coordination/reading/table_mirror_test.cpp
+++ b/test/coordination/reading/table_mirror_test.cpp
@@ -33,13 +33,13 @@
 
 }  // namespace
 
-Test(table_mirror, knows_nothing_before_the_first_confirmation) {
+Test(table_mirror, has_no_version_before_the_first_confirmation) {
     const table_mirror copy;
     cr_assert(!copy.confirmed());
     cr_assert_eq(copy.version(), 0);
 }
 
-Test(table_mirror, tells_what_changed_after_a_version) {
+Test(table_mirror, returns_the_changes_after_a_version) {
     table_mirror copy;
     copy.replace({row("a", 3), row("b", 5)}, 7);
     copy.confirm({7, at(1s), {}});
@@ -53,7 +53,7 @@
     cr_assert(copy.has_changes_after(9));
 }
 
-Test(table_mirror, a_row_that_a_whole_reading_lacks_was_removed) {
+Test(table_mirror, a_row_missing_from_the_whole_table_was_removed) {
     table_mirror copy;
     copy.replace({row("a", 3), row("b", 5)}, 7);
     copy.replace({row("b", 5)}, 20);
@@ -61,14 +61,14 @@
     cr_assert(*changes == (std::vector<record>{{"a", "", 20, true}}));
 }
 
-Test(table_mirror, a_change_without_meaning_is_not_passed_on) {
+Test(table_mirror, a_change_to_an_equivalent_value_is_not_passed_on) {
     table_mirror copy([](const record&, const record&) { return true; });
     copy.change(row("a", 3, "beat 1"));
     copy.change(row("a", 4, "beat 2"));
     cr_assert(!copy.has_changes_after(3));
 }
 
-Test(table_mirror, what_comes_late_changes_nothing) {
+Test(table_mirror, late_rows_change_nothing) {
     table_mirror copy;
     copy.change(row("a", 8, "new"));
     copy.change(row("a", 3, "old"));
@@ -85,7 +85,7 @@
     cr_assert(*copy.confirmed() == (confirmation{7, at(2s), 20ms}));
 }
 
-Test(table_mirror, forgets_old_removals_and_says_so) {
+Test(table_mirror, forgets_old_removals_and_reports_it) {
     table_mirror copy;
     for (std::uint64_t number = 1; number <= 300; ++number) {
         const std::string key = "k" + std::to_string(number);
@@ -99,7 +99,7 @@
 
 /// One copy follows the owner and a second copy follows the first, with pauses; at the end both
 /// have the same content as the owner.
-Test(table_mirror, a_copy_of_a_copy_is_the_table) {
+Test(table_mirror, a_copy_of_a_copy_equals_the_table) {
     const bool holds = rc::check("a copy of a copy is the table", [] {
         const auto steps = *rc::gen::container<std::vector<int>>(60, rc::gen::inRange(0, 100));
         std::map<std::string, std::string> owner;
@@ -146,7 +146,7 @@
     cr_assert(holds);
 }
 
-Test(table_mirror, tells_of_all_rows_where_a_third_of_them_is_removed_at_once) {
+Test(table_mirror, reports_all_removals_if_a_third_of_the_rows_is_removed_at_once) {
     for (const std::size_t count : {300, 10'000}) {
         table_mirror copy;
         std::uint64_t version = 0;
@@ -163,7 +163,7 @@
     }
 }
 
-Test(table_mirror, a_revision_rises_with_what_is_told_to_others) {
+Test(table_mirror, the_revision_increases_with_each_change_passed_on) {
     table_mirror copy([](const record& before, const record& after) {
         return before.value.front() == after.value.front();
     });
--- a/test/coordination/release/release_coordinator_test.cpp
+++ b/test/coordination/release/release_coordinator_test.cpp
@@ -174,7 +174,7 @@
     cr_assert(one.row->replaced.empty());
 }
 
-Test(release_coordinator, two_routers_that_saw_it_are_believed_one_is_not) {
+Test(release_coordinator, two_bad_reports_suffice_and_one_does_not) {
     fixture one;
     one.reporters = 0;
     one.run(1s);
@@ -187,7 +187,7 @@
     cr_assert(one.ended_as(rolled_back));
 }
 
-Test(release_coordinator, a_router_that_was_told_of_a_roll_back_passes_it_on) {
+Test(release_coordinator, a_roll_back_reported_by_a_router_is_adopted) {
     fixture one;
     one.run(1s);
     one.coordinator.reported({base::router_name("x"), order_number(5), rolled_back}, one.now);
@@ -206,7 +206,7 @@
     cr_assert(one.phase() == trial);
 }
 
-Test(release_coordinator, undecided_at_the_shift_the_deadline_decides) {
+Test(release_coordinator, an_undecided_trial_is_decided_at_the_deadline) {
     for (const bool good : {true, false}) {
         fixture one;
         one.view.at_deadline = good ? trial_verdict::good : trial_verdict::bad;
@@ -217,7 +217,7 @@
     }
 }
 
-Test(release_coordinator, no_step_forward_without_fresh_reports_of_more_than_half) {
+Test(release_coordinator, no_step_forward_without_fresh_reports_of_a_majority) {
     fixture one;
     one.view.found = trial_verdict::good;
     one.reporters = 1;
@@ -228,7 +228,8 @@
     cr_assert(one.ended_as(completed), "late rather than never");
 }
 
-Test(release_coordinator, completed_waits_for_what_cannot_be_repeated_until_the_last_moment) {
+Test(release_coordinator,
+     completion_waits_for_non_repeatable_requests_until_shortly_before_the_deadline) {
     fixture one;
     one.view.found = trial_verdict::good;
     one.unrepeatable = 2;
@@ -238,7 +239,7 @@
     cr_assert(one.ended_as(completed));
 }
 
-Test(release_coordinator, a_version_nobody_runs_is_rolled_back) {
+Test(release_coordinator, a_version_without_engines_is_rolled_back) {
     for (const bool pool_known : {true, false}) {
         fixture one;
         one.view.listed = pool_known ? std::set{v1} : std::set<software_version>{};
@@ -252,7 +253,7 @@
     }
 }
 
-Test(release_coordinator, target_engines_that_all_go_after_the_promotion) {
+Test(release_coordinator, losing_all_target_engines_after_the_promotion_rolls_back) {
     fixture one;
     one.view.found = trial_verdict::good;
     one.unrepeatable = 1;
@@ -296,7 +297,7 @@
     cr_assert(next.phase() == trial, "nor by one that takes over the release");
 }
 
-Test(release_coordinator, going_back_to_the_version_in_force_is_completed_at_once) {
+Test(release_coordinator, an_order_for_the_version_in_force_completes_at_once) {
     fixture one;
     one.put(record_of(4, v3, trial));
     one.view.listed = {v2, v3};
@@ -305,7 +306,7 @@
     cr_assert(one.row->refused == std::set{v3});
 }
 
-Test(release_coordinator, the_next_order_refuses_what_went_before) {
+Test(release_coordinator, the_next_order_refuses_earlier_targets) {
     for (const auto phase : {trial, promoted, completed, rolled_back}) {
         fixture one;
         release_record before = record_of(4, v3, phase);
@@ -338,7 +339,7 @@
     cr_assert_eq(one.reads, 1U);
 }
 
-Test(release_coordinator, taken_over_at_any_step) {
+Test(release_coordinator, a_coordinator_can_take_over_at_any_step) {
     for (const bool told : {false, true}) {
         for (const auto phase : {trial, promoted, completed, rolled_back}) {
             fixture one;
@@ -358,7 +359,7 @@
     }
 }
 
-Test(release_coordinator, the_first_sight_holds_over_a_take_over) {
+Test(release_coordinator, the_time_of_the_order_survives_a_takeover) {
     fixture one;
     one.put(record_of(5, v2, trial));
     one.now += 26900ms;
@@ -368,7 +369,7 @@
     cr_assert(one.row->ordered_after == store_start);
 }
 
-Test(release_coordinator, store_down_nothing_goes_forward_back_is_told) {
+Test(release_coordinator, without_the_store_no_step_forward_but_a_roll_back_is_announced) {
     fixture one;
     one.run(2s);
     one.store = store_behavior::down;
@@ -390,7 +391,7 @@
     cr_assert(one.announced == phases{rolled_back}, "announced at once and only once");
 }
 
-Test(release_coordinator, store_down_over_the_deadline_a_good_one_is_completed_late) {
+Test(release_coordinator, a_good_version_is_completed_late_if_the_store_is_down_over_the_deadline) {
     fixture one;
     one.run(2s);
     one.store = store_behavior::down;
@@ -401,7 +402,7 @@
     cr_assert(one.ended_as(completed));
 }
 
-Test(release_coordinator, a_deadline_that_passed_unseen_is_decided_at_once) {
+Test(release_coordinator, a_deadline_that_has_passed_is_decided_at_once) {
     fixture one;
     one.put(record_of(5, v2, trial));
     one.now += 300s;
@@ -409,7 +410,7 @@
     cr_assert(one.ended_as(rolled_back));
 }
 
-Test(release_coordinator, store_down_from_the_start_the_first_sight_is_kept) {
+Test(release_coordinator, the_time_of_the_order_is_kept_if_the_store_is_down_from_the_start) {
     fixture one;
     one.store = store_behavior::down;
     one.run(10s);
@@ -434,7 +435,7 @@
     }
 }
 
-Test(release_coordinator, no_second_call_while_one_is_under_way) {
+Test(release_coordinator, no_second_call_while_one_is_in_flight) {
     release_coordinator one({order_number(5), pool, v2, 30s});
     const coordinator_view view;
     const base::monotonic_time now{1h};
@@ -445,7 +446,7 @@
     cr_assert_eq(one.tick(view, now + 61s).size(), 1U);
 }
 
-Test(release_coordinator, another_that_completed_holds_against_a_roll_back_not_written) {
+Test(release_coordinator, a_completion_by_another_coordinator_overrides_an_unwritten_roll_back) {
     fixture one;
     one.run(1s);
     one.store = store_behavior::down;
@@ -461,7 +462,7 @@
     cr_assert(one.announced == phases({rolled_back, completed}));
 }
 
-Test(release_coordinator, another_that_promoted_does_not_revert_a_roll_back) {
+Test(release_coordinator, a_promotion_by_another_coordinator_does_not_revert_a_roll_back) {
     fixture one;
     one.run(1s);
     one.store = store_behavior::down;
@@ -478,7 +479,7 @@
     cr_assert(one.announced == phases{rolled_back});
 }
 
-Test(release_coordinator, woken_it_grants_nothing_before_it_has_read) {
+Test(release_coordinator, after_a_freeze_it_grants_nothing_before_it_has_read) {
     fixture one;
     one.run(20s);
     release_record other = *one.row;
@@ -496,7 +497,7 @@
               "the phase that the other coordinator recorded is reported to operators");
 }
 
-Test(release_coordinator, woken_with_old_reports_it_steps_not_forward) {
+Test(release_coordinator, after_a_freeze_old_reports_allow_no_step_forward) {
     fixture one;
     one.view.found = trial_verdict::good;
     one.run(20s);
@@ -506,7 +507,7 @@
     cr_assert(one.phase() == trial);
 }
 
-Test(release_coordinator, woken_it_takes_no_waiting_report_for_fresh) {
+Test(release_coordinator, after_a_freeze_delayed_reports_are_not_fresh) {
     fixture one;
     one.view.found = trial_verdict::good;
     one.run(20s);
@@ -522,7 +523,7 @@
     cr_assert(one.ended_as(completed));
 }
 
-Test(release_coordinator, a_roll_back_decided_stays_decided_when_the_evidence_goes) {
+Test(release_coordinator, a_decided_roll_back_stands_when_the_evidence_disappears) {
     fixture one;
     one.run(1s);
     one.store = store_behavior::down;
@@ -537,7 +538,7 @@
     cr_assert(one.ended_as(rolled_back));
 }
 
-Test(release_coordinator, a_row_that_got_lost_is_written_again) {
+Test(release_coordinator, a_lost_row_is_written_again) {
     fixture one;
     one.view.found = trial_verdict::good;
     one.run(10s);
@@ -550,7 +551,7 @@
     cr_assert(one.ended_as(completed));
 }
 
-Test(release_coordinator, engines_of_the_target_that_come_late_or_go_for_a_while) {
+Test(release_coordinator, target_engines_may_start_late_or_disappear_for_a_while) {
     fixture one;
     one.view.found = trial_verdict::good;
     for (const std::size_t engines : {0U, 2U, 0U, 1U}) {
@@ -575,7 +576,7 @@
               "calculated back to when the order was first seen");
 }
 
-Test(release_coordinator, an_order_may_be_older_than_its_first_sight) {
+Test(release_coordinator, an_order_may_be_older_than_when_it_was_first_seen) {
     fixture one;
     one.coordinator = release_coordinator(one.coordinator.order());
     one.view.found = trial_verdict::good;
@@ -588,7 +589,7 @@
     cr_assert(one.ended_as(completed));
 }
 
-Test(release_coordinator, told_that_it_runs_too_late_the_end_is_told_again) {
+Test(release_coordinator, the_end_is_reported_again_after_a_late_running_status) {
     for (const bool answer_lost : {false, true}) {
         fixture one;
         one.run(200ms);
@@ -607,7 +608,7 @@
     }
 }
 
-Test(release_coordinator, a_clock_lost_later_is_replaced_by_its_own) {
+Test(release_coordinator, its_own_clock_replaces_a_lost_store_clock) {
     fixture one;
     one.view.found = trial_verdict::good;
     one.run(5s);
@@ -618,7 +619,7 @@
     cr_assert(one.ended_as(completed));
 }
 
-Test(release_coordinator, less_time_than_the_shift_takes) {
+Test(release_coordinator, less_time_than_the_switchover_takes) {
     for (const base::duration allowed : {base::duration(2s), base::duration(1s)}) {
         fixture one(allowed);
         one.view.found = trial_verdict::good;
--- a/test/coordination/release/release_property_test.cpp
+++ b/test/coordination/release/release_property_test.cpp
@@ -554,7 +554,7 @@
     }));
 }
 
-Test(release, whatever_fails_nobody_permits_more_than_was_told) {
+Test(release, no_router_permits_more_than_announced_under_faults) {
     std::size_t completed = 0;
     std::size_t rolled_back = 0;
     cr_assert(rc::check("permissions, record and status agree; all ends when faults end", [&] {
--- a/test/coordination/release/types_test.cpp
+++ b/test/coordination/release/types_test.cpp
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-Test(release_record, comes_back_as_written) {
+Test(release_record, round_trip) {
     for (const release_phase phase : {release_phase::trial, release_phase::promoted,
                                       release_phase::completed, release_phase::rolled_back}) {
         cr_assert(decode_release_record(encode(sample(phase))) == sample(phase));
@@ -40,7 +40,7 @@
     cr_assert(decode_release_record(encode({})) == release_record{});
 }
 
-Test(release_record, bad_text_is_refused) {
+Test(release_record, malformed_text_is_refused) {
     for (const std::string& text :
          {std::string(), std::string("{"), std::string("[]"), std::string("{}"),
           changed("\"order\"", "\"other\""), changed("18446744073709551615", "-1"),
@@ -65,7 +65,7 @@
     }
 }
 
-Test(release_record, phases_that_end) {
+Test(release_record, final_phases) {
     cr_assert_not(is_final(release_phase::trial));
     cr_assert_not(is_final(release_phase::promoted));
     cr_assert(is_final(release_phase::completed));
--- a/test/coordination/release/version_gate_test.cpp
+++ b/test/coordination/release/version_gate_test.cpp
@@ -70,7 +70,7 @@
     cr_assert(one.of(v2) == all, "an older confirmation takes nothing back");
 }
 
-Test(version_gate, an_ordinary_replacement_needs_no_list_to_be_handed_in) {
+Test(version_gate, an_ordinary_replacement_needs_no_list) {
     version_gate gate;
     cr_assert(gate.permits(pool, v1, at(0s), at(1s)) == none);
     gate.confirmed(at(0s));
@@ -97,7 +97,7 @@
     cr_assert(gate.permits(pool, v2, at(0s), at(1s)) == none);
 }
 
-Test(version_gate, the_target_gets_nothing_until_told) {
+Test(version_gate, the_target_gets_nothing_until_a_notice) {
     const fixture one = fixture::ordered();
     cr_assert(one.of(v1) == all);
     cr_assert(one.of(v2) == none);
@@ -105,7 +105,7 @@
     cr_assert_not(one.gate.phase_of(pool).has_value());
 }
 
-Test(version_gate, a_trial_ends_two_seconds_after_it_was_told) {
+Test(version_gate, a_trial_ends_two_seconds_after_its_notice) {
     fixture one = fixture::ordered();
     one.tell(5, v2, release_phase::trial, 2s);
     cr_assert(one.of(v2, 2s) == canary);
@@ -116,7 +116,7 @@
     cr_assert(one.of(v1, 5s) == all);
 }
 
-Test(version_gate, a_router_that_saw_it_bad_stops_until_promoted) {
+Test(version_gate, a_router_that_found_the_version_bad_stops_until_promoted) {
     fixture one = fixture::ordered();
     one.tell(5, v2, release_phase::trial, 2s);
     one.gate.stop(pool);
@@ -129,7 +129,7 @@
     cr_assert(one.of(v3, 5s) == canary, "the stop is part of that order only");
 }
 
-Test(version_gate, promoted_and_completed_shut_out_what_is_replaced) {
+Test(version_gate, promoted_and_completed_exclude_replaced_versions) {
     fixture one = fixture::ordered();
     one.tell(5, v2, release_phase::promoted, 2s, {}, {v1});
     cr_assert(one.of(v2, 60s) == all, "no grant that ends");
@@ -141,7 +141,7 @@
     cr_assert_not(one.gate.under_way(pool));
 }
 
-Test(version_gate, rolled_back_after_promoted_gives_the_old_version_back) {
+Test(version_gate, a_roll_back_after_the_promotion_readmits_the_old_version) {
     fixture one = fixture::ordered();
     one.tell(5, v2, release_phase::promoted, 2s, {}, {v1});
     one.tell(5, v2, release_phase::rolled_back, 3s, {v2});
@@ -164,7 +164,7 @@
     cr_assert(one.gate.order_of(pool)->number == order_number(5));
 }
 
-Test(version_gate, completed_holds_against_a_roll_back_told_before_it_was_written) {
+Test(version_gate, completed_overrides_a_roll_back_announced_before_it_was_written) {
     fixture one = fixture::ordered();
     one.tell(5, v2, release_phase::rolled_back, 2s, {v2});
     one.tell(5, v2, release_phase::completed, 3s, {}, {v1});
@@ -192,7 +192,7 @@
     cr_assert(one.of(v2, 3s) == canary);
 }
 
-Test(version_gate, the_target_of_an_overtaken_trial_gets_nothing) {
+Test(version_gate, the_target_of_a_superseded_trial_gets_nothing) {
     fixture one = fixture::ordered();
     one.tell(5, v2, release_phase::trial, 2s);
     one.order(6, v3);
@@ -202,7 +202,7 @@
     cr_assert(one.of(v1, 3s) == all);
 }
 
-Test(version_gate, an_overtaken_promotion_holds_until_the_next_order_is_told_of) {
+Test(version_gate, a_superseded_promotion_holds_until_the_next_order_is_announced) {
     fixture one = fixture::ordered();
     one.tell(5, v2, release_phase::promoted, 2s, {}, {v1});
     one.order(6, v3);
@@ -231,7 +231,7 @@
     cr_assert(one.of(v1, 2s) == none);
 }
 
-Test(version_gate, the_version_in_force_ordered_once_more_is_served_on) {
+Test(version_gate, the_version_in_force_is_still_served_when_ordered_again) {
     fixture one = fixture::ordered();
     one.tell(5, v2, release_phase::completed, 2s, {}, {v1});
     one.gate.listed(pool, {v2}, at(3s));
@@ -243,7 +243,7 @@
     cr_assert(one.of(v2, 60s) == all);
 }
 
-Test(version_gate, a_version_completed_and_left_again_is_new) {
+Test(version_gate, a_version_replaced_after_its_completion_counts_as_new) {
     fixture one = fixture::ordered();
     one.tell(5, v2, release_phase::completed, 2s, {}, {v1});
     one.order(6, v1);
@@ -258,7 +258,7 @@
     cr_assert(one.of(v1, 7s) == all);
 }
 
-Test(version_gate, a_router_started_long_after_the_release_serves_what_is_there) {
+Test(version_gate, a_router_started_long_after_the_release_serves_the_existing_version) {
     version_gate gate;
     gate.order({order_number(5), pool, v2, 60s});
     gate.listed(pool, {v2}, at(0s));
@@ -299,7 +299,7 @@
     cr_assert(one.of(v2, 2s) == canary);
 }
 
-Test(version_gate, going_back_to_what_is_in_force_ends_a_trial) {
+Test(version_gate, an_order_for_the_version_in_force_ends_a_trial) {
     fixture one = fixture::ordered();
     one.tell(5, v2, release_phase::trial, 2s);
     one.order(6, v1);
@@ -310,7 +310,7 @@
     cr_assert(one.of(v2, 3s) == none);
 }
 
-Test(version_gate, pools_dont_touch_each_other) {
+Test(version_gate, pools_are_independent) {
     fixture one = fixture::ordered();
     const base::pool_name other("q");
     one.gate.listed(other, {v2}, at(0s));
--- a/test/coordination/rollout/naming_record_test.cpp
+++ b/test/coordination/rollout/naming_record_test.cpp
@@ -8,7 +8,7 @@
 using namespace ferryroad;
 using namespace ferryroad::coordination::rollout;
 
-Test(naming_record, comes_back_as_written) {
+Test(naming_record, round_trip) {
     naming_record record;
     record.confirmed_at = 51230;
     record.models["m1"] = {{2, 100}, {5, 7000}};
@@ -16,7 +16,7 @@
     cr_assert(decode_naming_record(encode(record)) == record);
 }
 
-Test(naming_record, bad_text_is_refused) {
+Test(naming_record, malformed_text_is_refused) {
     for (const char* text :
          {"", "{", "[]", "{}", R"({"confirmed_at_ms":1})", R"({"confirmed_at_ms":"x","models":{}})",
           R"({"confirmed_at_ms":1,"models":[]})", R"({"confirmed_at_ms":1,"models":{"m":{}}})",
--- a/test/coordination/rollout/rollout_pace_test.cpp
+++ b/test/coordination/rollout/rollout_pace_test.cpp
@@ -20,7 +20,7 @@
     cr_assert_eq(pace.allowed(2, 2, 0s), 1);
 }
 
-Test(rollout_pace, more_where_the_rest_would_be_late) {
+Test(rollout_pace, more_if_the_rest_would_be_late) {
     const rollout_pace pace;
     cr_assert_eq(pace.allowed(12, 9, 1800ms), 3);
     cr_assert_eq(pace.allowed(12, 12, -1s), 4);
@@ -36,7 +36,7 @@
     cr_assert_eq(pace.allowed(12, 12, 6s), 4);
 }
 
-Test(rollout_pace, hurries_where_the_usual_share_would_be_late) {
+Test(rollout_pace, is_behind_schedule_if_the_usual_share_would_be_late) {
     const rollout_pace pace;
     cr_assert_not(pace.is_behind_schedule(18, 18, 6s));
     cr_assert(pace.is_behind_schedule(18, 18, 3s));
--- a/test/coordination/rollout/unanswered_orders_test.cpp
+++ b/test/coordination/rollout/unanswered_orders_test.cpp
@@ -186,7 +186,7 @@
     }
 }
 
-Test(unanswered_orders, an_engine_without_answer_leaves_its_place_to_another) {
+Test(unanswered_orders, an_engine_with_an_unanswered_order_takes_no_place) {
     late_fleet fleet(18, 1.0, 1);
     fleet.run_until(step_period * 3);
     const std::size_t at_once = fleet.first_order.size();
@@ -195,7 +195,7 @@
     cr_assert_eq(fleet.first_order.size(), 2 * at_once);
 }
 
-Test(unanswered_orders, the_fleet_is_spared_if_all_are_carried_out_together) {
+Test(unanswered_orders, not_all_engines_load_if_all_orders_are_carried_out_together) {
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         late_fleet fleet(18, 1.0, seed);
         fleet.run_until(tunables.order_within / 2, [&] {
@@ -207,7 +207,7 @@
     }
 }
 
-Test(unanswered_orders, as_few_as_ever_load_at_once) {
+Test(unanswered_orders, no_more_engines_load_at_once_than_without_faults) {
     std::size_t most = 0;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         late_fleet fleet(18, 0.9, seed);
@@ -217,7 +217,7 @@
     cr_assert_leq(most, 6, "%zu of 18 loaded at once", most);
 }
 
-Test(unanswered_orders, when_orders_are_answered_again_no_more_load_than_may) {
+Test(unanswered_orders, the_load_limit_holds_when_orders_are_answered_again) {
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         late_fleet fleet(18, 1.0, seed);
         fleet.carried_out = false;
@@ -250,7 +250,7 @@
     cr_assert_leq(fleet.orders, 72U, "%zu orders in 4 s", fleet.orders);
 }
 
-Test(unanswered_orders, an_engine_in_doubt_serves_until_its_order_is_known_to_be_carried_out) {
+Test(unanswered_orders, an_engine_with_an_unanswered_order_serves_until_a_report_shows_it_loading) {
     weights_rollout rollout;
     const base::engine_name name("e0");
     const std::vector<engine_view> seen = {{name, model, 1, 0}};
@@ -272,7 +272,7 @@
     cr_assert(rollout.next(seen, start + 1s).coming.empty());
 }
 
-Test(unanswered_orders, what_is_carried_out_late_counts_as_loading_once_a_report_shows_it) {
+Test(unanswered_orders, a_late_order_counts_as_loading_once_a_report_shows_it) {
     late_fleet fleet(18, 1.0, 1);
     fleet.carried_out = false;
     fleet.run_until(1s);
--- a/test/coordination/rollout/weights_rollout_test.cpp
+++ b/test/coordination/rollout/weights_rollout_test.cpp
@@ -108,7 +108,7 @@
 
 }  // namespace
 
-Test(weights_rollout, orders_nothing_where_nothing_is_named) {
+Test(weights_rollout, orders_nothing_if_no_weights_are_named) {
     fleet engines(3, 1);
     weights_rollout rollout;
     const auto steps = rollout.next(engines.views(), start);
@@ -131,7 +131,7 @@
     cr_assert(second.orders[0] == expected);
 }
 
-Test(weights_rollout, brings_all_to_the_newest_a_share_at_a_time) {
+Test(weights_rollout, brings_all_engines_to_the_newest_weights_a_few_at_a_time) {
     fleet engines(12, 1);
     weights_rollout rollout;
     rollout.want(model, 2);
@@ -157,7 +157,7 @@
     }
 }
 
-Test(weights_rollout, slow_loads_are_hurried) {
+Test(weights_rollout, more_engines_load_at_once_if_loads_are_slow) {
     fleet engines(12, 1);
     engines.load_time = 1800ms;
     weights_rollout rollout;
@@ -169,7 +169,7 @@
     cr_assert_leq(base::to_seconds(engines.now - start), 9.5);
 }
 
-Test(weights_rollout, versions_named_meanwhile_are_skipped) {
+Test(weights_rollout, intermediate_versions_are_skipped) {
     fleet engines(12, 1);
     weights_rollout rollout;
     rollout.want(model, 2);
@@ -210,7 +210,7 @@
     cr_assert(steps.reports[0].engine == base::engine_name("idle"));
 }
 
-Test(weights_rollout, the_longest_queue_goes_first_where_time_is_short) {
+Test(weights_rollout, the_longest_queue_goes_first_if_time_is_short) {
     weights_rollout rollout;
     rollout.want(model, 2);
     std::vector<engine_view> seen;
@@ -225,7 +225,7 @@
     }
 }
 
-Test(weights_rollout, engines_of_all_zones_go_together) {
+Test(weights_rollout, engines_of_all_zones_are_ordered_evenly) {
     weights_rollout rollout;
     rollout.want(model, 2);
     std::vector<engine_view> seen;
@@ -256,7 +256,7 @@
     rollout.reported(base::engine_name("e0"), {1, 0, false}, start);
 }
 
-Test(weights_rollout, a_silent_engine_makes_room_for_others) {
+Test(weights_rollout, an_unresponsive_engine_frees_its_place) {
     weights_rollout rollout;
     rollout.want(model, 2);
     const std::vector<engine_view> seen = {{base::engine_name("e0"), model, 1, 0},
@@ -268,7 +268,7 @@
               rollout.under_way(base::engine_name("e1")));
 }
 
-Test(weights_rollout, lost_answers_delay_but_never_stop_it) {
+Test(weights_rollout, lost_answers_delay_but_never_stop_the_rollout) {
     const bool held = rc::check("lost answers", [](std::uint64_t seed) {
         fleet engines(1 + seed % 13, seed);
         weights_rollout rollout;
