--- a/src/ferryroad/coordination/claim/record.cpp
+++ b/src/ferryroad/coordination/claim/record.cpp
@@ -97,13 +97,14 @@
     BOOST_LEAF_AUTO(format, reader.number("format"));
     if (format != format_version) {
         return leaf::new_error(
-            record_error{record_error_code::unknown_format, "format " + std::to_string(format)});
+            record_error{record_error_code::unknown_format,
+                         "format: unsupported version " + std::to_string(format)});
     }
     record decoded;
     BOOST_LEAF_AUTO(state_text, reader.text("state"));
     const auto state = parse_state(state_text);
     if (!state) {
-        return malformed("state: " + state_text);
+        return malformed("state: unknown value " + state_text);
     }
     decoded.state = *state;
     BOOST_LEAF_ASSIGN(decoded.attempt.value, reader.text("attempt"));
--- a/src/ferryroad/coordination/configuration/replica.hpp
+++ b/src/ferryroad/coordination/configuration/replica.hpp
@@ -45,7 +45,7 @@
     const snapshot& held() const { return held_; }
     /// @return the newest revision that any process is known to hold; at least the revision held
     /// here.
-    base::revision newest_known() const { return newest_known_; }
+    base::revision heard() const { return newest_known_; }
     /// @return whether a newer revision than the held one is known.
     bool needs_pull() const { return newest_known_ > held_.revision; }
 
--- a/src/ferryroad/coordination/lease/messages.hpp
+++ b/src/ferryroad/coordination/lease/messages.hpp
@@ -31,8 +31,8 @@
     row_version expected;
     std::string value;
 };
-/// Ask for the next action again at `when`, or as soon as one of the holder's settings was changed
-/// from outside.
+/// Ask for the next action again at `when`, or as soon as `lease_holder::want` or
+/// `lease_holder::set_note` was called.
 struct wait_until {
     base::monotonic_time when;
 };
--- a/src/ferryroad/coordination/quota/quota_ledger.cpp
+++ b/src/ferryroad/coordination/quota/quota_ledger.cpp
@@ -65,7 +65,7 @@
 
 double quota_ledger::active_part(account& tenant_account, base::monotonic_time now) const {
     std::erase_if(tenant_account.askers, [&](const auto& entry) {
-        return now - entry.second.asked_at > m_tunables.asker_retention;
+        return now - entry.second.asked_at > m_tunables.remembered;
     });
     std::size_t present = 0;
     for (const auto& [name, history] : tenant_account.askers) {
@@ -100,7 +100,7 @@
     std::erase_if(m_accounts, [&](const auto& entry) {
         const auto& askers = entry.second.askers;
         return std::all_of(askers.begin(), askers.end(), [&](const auto& asker) {
-            return now - asker.second.asked_at > m_tunables.asker_retention;
+            return now - asker.second.asked_at > m_tunables.remembered;
         });
     });
 }
--- a/src/ferryroad/coordination/reading/reading_tree.hpp
+++ b/src/ferryroad/coordination/reading/reading_tree.hpp
@@ -43,7 +43,7 @@
 tree_member make_member(base::router_name name, base::zone_name zone, base::region_name region = {},
                         link_capacity link = {});
 
-/// Settings of the tree; must be equal at all routers.
+/// Settings of the tree.
 struct tree_settings {
     /// Number of routers that read the owner: two, so that copies stay fresh when one of them is
     /// lost.
--- a/src/ferryroad/coordination/reading/source_selector.hpp
+++ b/src/ferryroad/coordination/reading/source_selector.hpp
@@ -15,10 +15,10 @@
 /// many ask the owner as there are fallback readers, plus any router that gets no answer from
 /// anyone.
 ///
-/// Each table has its own selector, because which copies are stale differs by table. When one state
-/// was shared by all tables, answers for a table that was current made routers keep sources that
-/// were up to 5.3 s behind on another table, although the owner would have answered them (seen in a
-/// fleet of 8).
+/// Each table has its own selector, because which copies are stale differs by table. If all tables
+/// of a router shared one state, then in a fleet of 8 the answers for a table that was current made
+/// routers keep sources that were up to 5.3 s behind on another table, although the owner would
+/// have answered them.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
--- a/test/coordination/configuration/replica_test.cpp
+++ b/test/coordination/configuration/replica_test.cpp
@@ -38,7 +38,7 @@
 
 void assert_follows(const replica& held, const model_table& table) {
     RC_ASSERT(held.held().content == table.state_at(held.revision()));
-    RC_ASSERT(held.newest_known() >= held.revision());
+    RC_ASSERT(held.heard() >= held.revision());
 }
 
 /// Checks that each step of the replica starts at the revision where the step before it ended.
--- a/test/coordination/rollout/unanswered_orders_test.cpp
+++ b/test/coordination/rollout/unanswered_orders_test.cpp
@@ -1,11 +1,10 @@
-/// Guards against a rollout that stalls when orders get no answer. In one run, the engines left
-/// eight to nine of ten orders unanswered and carried them out 2 to 12 s later. Each engine with an
-/// unanswered order kept its place among the few that load at once and was ordered again each
-/// second: 44 of 46 orders were unanswered, one engine got nine, and only ten of 18 engines had
-/// been ordered at all after the 8 s within which requests may start on older weights. Without
-/// faults all 18 are ordered within 6 s. An engine that may have lost its order must therefore not
-/// take the place of one that has had none, but not all engines may start to load at the same
-/// moment either.
+/// Guards against a rollout that stalls when orders get no answer. If engines leave eight to nine
+/// of ten orders unanswered and carry them out 2 to 12 s later, and each engine with an unanswered
+/// order keeps its place among the few that load at once and is ordered again each second, then 44
+/// of 46 orders are unanswered, one engine gets nine, and only ten of 18 engines have been ordered
+/// at all after the 8 s within which requests may start on older weights. Without faults all 18 are
+/// ordered within 6 s. An engine that may have lost its order must therefore not take the place of
+/// one that has had none, but not all engines may start to load at the same moment either.
 #include "ferryroad/base/random.hpp"
 #include "ferryroad/coordination/rollout/weights_rollout.hpp"
 
