--- a/test/coordination/configuration/replica_test.cpp
+++ b/test/coordination/configuration/replica_test.cpp
@@ -1,5 +1,5 @@
-/// A replica never goes back, holds exactly what the log says at its revision, and converges
-/// however changes are lost, doubled and reordered.
+/// A replica never goes back to an older revision, holds exactly the content that the log has at
+/// its revision, and converges when changes are lost, duplicated or reordered.
 #include "ferryroad/coordination/configuration/replica.hpp"
 
 #include "test/coordination/configuration/model_table.hpp"
@@ -41,7 +41,7 @@
     RC_ASSERT(held.heard() >= held.revision());
 }
 
-/// The replica's steps join without a gap.
+/// Checks that each step of the replica starts at the revision where the step before it ended.
 void assert_joined(const std::vector<applied_change>& steps, base::revision from,
                    base::revision to) {
     for (const applied_change& step : steps) {
@@ -54,7 +54,7 @@
 
 }  // namespace
 
-Test(replica, holds_the_log_whatever_order_changes_come_in) {
+Test(replica, holds_the_log_for_any_order_of_changes) {
     cr_assert(rc::check([] {
         const model_table table = random_log(30);
         replica held(small_limits);
@@ -69,7 +69,7 @@
     }));
 }
 
-Test(replica, snapshots_never_take_it_back) {
+Test(replica, snapshots_never_move_it_back) {
     cr_assert(rc::check([] {
         const model_table table = random_log(30);
         replica held(small_limits);
@@ -79,7 +79,8 @@
             const base::revision at(static_cast<std::uint64_t>(*rc::gen::inRange(0, top + 1)));
             const auto steps = held.on_snapshot({at, table.state_at(at)});
             assert_joined(steps, before, held.revision());
-            RC_ASSERT(held.revision() >= std::max(before, at));  // Early changes may follow.
+            RC_ASSERT(held.revision() >=
+                      std::max(before, at));  // Buffered changes may be applied as well.
             if (!table.history().empty()) {
                 held.on_change(*rc::gen::elementOf(table.history()));
             }
@@ -93,7 +94,7 @@
         const model_table table = random_log(40);
         std::vector<replica> routers(4, replica(small_limits));
         for (const change& next : table.history()) {
-            // A push reaches some of them.
+            // The push reaches a random subset of the replicas.
             for (replica& router : routers) {
                 if (*rc::gen::inRange(0, 3) == 0) {
                     router.on_change(next);
@@ -138,7 +139,7 @@
     }));
 }
 
-Test(replica, steps_are_given_whole_or_not_at_all) {
+Test(replica, steps_are_returned_completely_or_not_at_all) {
     cr_assert(rc::check([] {
         const model_table table = random_log(30);
         replica held(small_limits);
@@ -154,7 +155,7 @@
     }));
 }
 
-Test(replica, keeps_few_early_changes) {
+Test(replica, buffers_a_bounded_number_of_changes) {
     replica held(small_limits);
     for (std::uint64_t revision = 100; revision > 1; --revision) {
         held.on_change({base::revision(revision), {}, {}, {}});
@@ -162,5 +163,5 @@
     cr_assert_eq(held.revision().value, 0);
     cr_assert(held.needs_pull());
     cr_assert_eq(held.on_change({base::revision(1), {}, {}, {}}).size(),
-                 1 + small_limits.early_changes);
+                 1 + small_limits.buffered_changes);
 }
--- a/test/coordination/membership/failure_detector_test.cpp
+++ b/test/coordination/membership/failure_detector_test.cpp
@@ -1,4 +1,4 @@
-/// One member's side, event by event.
+/// Tests of one member's failure detector, event by event.
 #include "ferryroad/coordination/membership/failure_detector.hpp"
 
 #include <criterion/criterion.h>
@@ -34,7 +34,7 @@
                          {}};
         return detector.on_datagram(message, {"10.0.0.1", 99}, now);
     }
-    /// Ticks on time until `condition` holds for one of the actions.
+    /// Ticks without delay until `condition` holds for one of the actions.
     template <typename Condition>
     void tick_until(Condition condition) {
         bool met = false;
@@ -60,7 +60,8 @@
     return message != nullptr && std::holds_alternative<Probe>(message->probe);
 }
 
-/// What is known of "b", what is heard of it, and what is then held.
+/// What is known of member "b", the update received, and the expected state and incarnation
+/// afterwards.
 struct merge_row {
     const char* what;
     std::optional<member_update> known;
@@ -116,7 +117,7 @@
     }
 }
 
-Test(failure_detector, refutes_what_is_said_of_itself) {
+Test(failure_detector, refutes_accusations_of_itself) {
     bench test;
     for (const member_state state : {suspect, dead, leaving}) {
         const std::uint64_t accused = test.detector.self().incarnation.value;
@@ -124,14 +125,14 @@
         cr_assert_eq(test.detector.self().incarnation.value, accused + 1);
         cr_assert(test.detector.self().state == alive);
     }
-    // A former process of this name whose clock was ahead.
+    // A former process with this name whose clock was ahead.
     test.hear({member("self", 7, "a", 5000, alive)});
     cr_assert_eq(test.detector.self().incarnation.value, 5001);
     test.hear({member("self", 7, "a", 4000, dead)});
     cr_assert_eq(test.detector.self().incarnation.value, 5001);
 }
 
-Test(failure_detector, an_accused_sender_hears_it_in_the_ack) {
+Test(failure_detector, an_accused_sender_gets_the_accusation_in_the_ack) {
     bench test;
     test.hear({member("other", 99, "a", 10, alive)});
     test.hear({member("other", 99, "a", 10, suspect)});
@@ -164,7 +165,7 @@
     cr_assert(asked == std::vector<std::uint16_t>({20, 21, 22}));
 }
 
-Test(failure_detector, passes_a_ping_on_and_its_ack_back) {
+Test(failure_detector, forwards_a_ping_and_its_ack) {
     bench test;
     test.hear({member("target", 2)});
     actions todo = test.hear({}, ping_request{77, base::router_name("target")});
@@ -180,7 +181,7 @@
     cr_assert(test.hear({}, ack{sequence}).empty(), "an ack is passed on once");
 }
 
-Test(failure_detector, a_late_tick_proves_nothing) {
+Test(failure_detector, a_late_tick_is_no_evidence) {
     bench test;
     test.hear({member("b", 2)});
     test.tick_until(sends<ping>);
@@ -203,7 +204,7 @@
     cr_assert(test.detector.on_tick(test.now + 10s).empty());
 }
 
-Test(failure_detector, notices_are_bounded_and_the_higher_version_holds) {
+Test(failure_detector, notices_are_bounded_and_the_higher_version_wins) {
     bench test;
     test.detector.spread({"engine", 2, false}, test.now);
     test.detector.spread({"engine", 1, true}, test.now);
@@ -218,7 +219,7 @@
             learned.push_back(news->notice);
         }
     }
-    cr_assert_eq(learned.size(), detector_settings{}.most_notices + 1);
+    cr_assert_eq(learned.size(), detector_settings{}.max_notices + 1);
     cr_assert(learned[0] == notice({"engine", 2, false}));
     cr_assert(learned[1] == notice({"engine", 2, true}));
 }
--- a/test/coordination/quota/quota_homes_test.cpp
+++ b/test/coordination/quota/quota_homes_test.cpp
@@ -1,4 +1,4 @@
-/// Which router is asked.
+/// Tests of the choice of home routers and of the exclusion of routers that don't answer.
 #include "ferryroad/coordination/quota/quota_homes.hpp"
 
 #include <criterion/criterion.h>
@@ -23,7 +23,7 @@
     return names;
 }
 
-void fall_silent(quota_homes& homes, const base::router_name& home, base::monotonic_time now) {
+void miss_three_asks(quota_homes& homes, const base::router_name& home, base::monotonic_time now) {
     for (int ask = 0; ask < 3; ++ask) {
         homes.silent(home, now);
     }
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-Test(quota_homes, all_agree_whatever_the_order_of_the_list) {
+Test(quota_homes, the_order_of_the_list_does_not_matter) {
     quota_homes one;
     quota_homes other;
     auto names = routers(20);
@@ -54,15 +54,15 @@
     }
 }
 
-Test(quota_homes, none_where_nobody_is_known_or_all_are_silent) {
+Test(quota_homes, no_home_if_no_router_is_known_or_all_are_excluded) {
     quota_homes homes;
     cr_assert_not(homes.home_of(tenant, start).has_value());
     homes.declare(routers(1));
-    fall_silent(homes, routers(1)[0], start);
+    miss_three_asks(homes, routers(1)[0], start);
     cr_assert_not(homes.home_of(tenant, start).has_value());
 }
 
-Test(quota_homes, lost_answers_change_nothing_and_three_in_a_row_do_for_a_moment) {
+Test(quota_homes, three_lost_answers_in_a_row_exclude_a_home_for_a_while) {
     quota_homes homes;
     homes.declare(routers(5));
     const auto home = *homes.home_of(tenant, start);
@@ -74,11 +74,11 @@
     cr_assert(homes.home_of(tenant, start + 2s) == home);
 }
 
-Test(quota_homes, who_stays_silent_is_asked_less_and_less_often) {
+Test(quota_homes, a_home_that_stays_unresponsive_is_asked_less_often) {
     quota_homes homes;
     homes.declare(routers(5));
     const auto home = *homes.home_of(tenant, start);
-    fall_silent(homes, home, start);
+    miss_three_asks(homes, home, start);
     homes.silent(home, start + 2s);
     cr_assert_neq(*homes.home_of(tenant, start + 5s), home);
     cr_assert(homes.home_of(tenant, start + 6s) == home);
@@ -87,11 +87,11 @@
     cr_assert(homes.home_of(tenant, start + 6s) == home);
 }
 
-Test(quota_homes, who_is_gone_from_the_list_is_forgotten) {
+Test(quota_homes, routers_removed_from_the_list_are_forgotten) {
     quota_homes homes;
     homes.declare(routers(5));
     const auto home = *homes.home_of(tenant, start);
-    fall_silent(homes, home, start);
+    miss_three_asks(homes, home, start);
     homes.declare({});
     homes.declare(routers(5));
     cr_assert(homes.home_of(tenant, start) == home);
--- a/test/coordination/reading/reading_tree_test.cpp
+++ b/test/coordination/reading/reading_tree_test.cpp
@@ -1,4 +1,5 @@
-/// Few routers read the owner, nobody feeds too many, and every copy comes from above.
+/// Tests of the reading tree: few routers read the owner, no router serves too many others, and
+/// every router reaches the owner through its parents.
 #include "ferryroad/coordination/reading/reading_tree.hpp"
 
 #include <criterion/criterion.h>
@@ -59,31 +60,31 @@
     cr_assert(!place.parent);
 }
 
-Test(reading_tree, holds_at_any_size) {
+Test(reading_tree, is_valid_at_any_size) {
     for (const shape& each : {shape{2, 1, 1}, shape{8, 4, 2}, shape{69, 4, 3}, shape{79, 3, 3},
                               shape{370, 10, 4}, shape{370, 1, 3}}) {
         const auto members = fleet(each.routers, each.zones);
         const auto all = places(members);
-        std::map<base::router_name, std::size_t> fed;
+        std::map<base::router_name, std::size_t> served;
         std::size_t readers = 0;
         for (const auto& [name, place] : all) {
             readers += place.reads_owner ? 1 : 0;
             cr_assert_neq(place.reads_owner, place.parent.has_value());
             if (place.parent) {
-                ++fed[*place.parent];
+                ++served[*place.parent];
             }
             cr_assert_leq(hops_to_owner(all, name), each.most_hops, "%zu routers, %zu zones",
                           each.routers, each.zones);
         }
         cr_assert_eq(readers, 2);
-        for (const auto& [name, routers] : fed) {
-            // A head feeds its own zone and, as a reader, other heads.
+        for (const auto& [name, routers] : served) {
+            // A head serves its own zone and, if it is a reader, other heads.
             cr_assert_leq(routers, 2 * tree_settings{}.degree);
         }
     }
 }
 
-Test(reading_tree, readers_stand_in_different_zones) {
+Test(reading_tree, readers_are_in_different_zones) {
     const auto members = fleet(40, 4);
     std::set<base::zone_name> zones;
     for (const tree_member& one : readers_among(members, {})) {
@@ -119,7 +120,7 @@
 
 namespace {
 
-/// Zones z0, z1, ... lie in regions by turns.
+/// Zones z0, z1, ... are assigned to the regions in turn.
 std::vector<tree_member> fleet_of_regions(std::size_t routers, std::size_t zones,
                                           std::size_t regions) {
     std::vector<tree_member> members;
@@ -163,14 +164,14 @@
     }
 }
 
-Test(reading_tree, readers_stand_in_different_regions) {
+Test(reading_tree, readers_are_in_different_regions) {
     const auto members = fleet_of_regions(76, 6, 3);
     const auto readers = readers_among(members, {});
     cr_assert_eq(readers.size(), 2);
     cr_assert(readers[0].region != readers[1].region);
 }
 
-Test(reading_tree, a_region_that_is_gone_and_one_of_one_zone_change_nothing_for_others) {
+Test(reading_tree, a_lost_region_and_a_region_of_one_zone_do_not_affect_others) {
     auto members = fleet_of_regions(77, 7, 3);  // The regions have 3, 2 and 2 zones.
     const auto dark = readers_among(members, {}).front().region;
     std::erase_if(members, [&](const tree_member& one) { return one.region == dark; });
@@ -184,7 +185,7 @@
     cr_assert_eq(readers, 2);
 }
 
-Test(reading_tree, one_region_is_as_none) {
+Test(reading_tree, a_single_region_equals_no_regions) {
     for (const std::size_t zones : {1, 3, 40}) {
         const auto told = fleet_of_regions(120, zones, 1);
         const auto untold = fleet(120, zones);
@@ -192,7 +193,7 @@
     }
 }
 
-Test(reading_tree, machines_with_wide_links_stand_above_the_others) {
+Test(reading_tree, machines_with_faster_links_rank_higher) {
     std::vector<tree_member> members;
     std::size_t wide = 0;
     for (int index = 0; index < 200; ++index) {
@@ -209,7 +210,7 @@
     }
 }
 
-Test(reading_tree, links_that_are_nearly_alike_are_ranked_by_name_alone) {
+Test(reading_tree, similar_links_are_ranked_by_name_only) {
     const auto narrow = make_member(base::router_name("a"), {}, {}, link_capacity(20));
     const auto wider = make_member(base::router_name("a"), {}, {}, link_capacity(25));
     cr_assert_eq(narrow.rank, wider.rank);
--- a/test/coordination/release/release_coordinator_test.cpp
+++ b/test/coordination/release/release_coordinator_test.cpp
@@ -1,4 +1,5 @@
-/// One coordinator against a table that answers, fails, loses answers or was changed by another.
+/// Tests of one coordinator with a table that answers, fails, loses answers, or was changed by
+/// another coordinator.
 #include "ferryroad/coordination/release/release_coordinator.hpp"
 
 #include "ferryroad/base/random.hpp"
@@ -20,34 +21,34 @@
 constexpr store_milliseconds store_start = 1'000'000;
 constexpr base::duration step = 100ms;
 
-enum class store_manner { answers, down, loses_answers };
+enum class store_behavior { answers, down, loses_answers };
 
-/// A table of one row, and routers that report each tick and hear at once.
+/// A table of one row, and routers that report at each tick and are notified at once.
 struct fixture {
     release_coordinator coordinator;
     coordinator_view view;
     base::monotonic_time now{1h};
-    store_manner store = store_manner::answers;
+    store_behavior store = store_behavior::answers;
     std::optional<release_record> row;
     std::uint64_t row_version = 0;
-    std::vector<release_phase> phases;    ///< Of all writes that took effect.
-    std::vector<release_phase> statuses;  ///< Told to operators.
-    std::vector<release_phase> spread;    ///< Told to all routers at once.
+    std::vector<release_phase> phases;     ///< Phases of all writes that took effect.
+    std::vector<release_phase> statuses;   ///< Phases reported to operators.
+    std::vector<release_phase> announced;  ///< Phases announced to all routers at once.
     std::size_t reads = 0;
     std::size_t reporters = 3;
     std::uint32_t unrepeatable = 0;
     bool clock_known = true;
 
     explicit fixture(base::duration allowed = 30s, std::uint64_t number = 5)
-        : coordinator({order_number(number), pool, v2, allowed}, at_once_seen()) {
+        : coordinator({order_number(number), pool, v2, allowed}, seen_at_once()) {
         view.routers = 3;
         view.listed = {v1, v2};
         view.target_engines = 2;
     }
 
-    static coordinator_tunables at_once_seen() {
+    static coordinator_tunables seen_at_once() {
         coordinator_tunables tunables;
-        tunables.sight_lag = 0ms;
+        tunables.max_order_age = 0ms;
         return tunables;
     }
     void put(const release_record& record) {
@@ -74,16 +75,16 @@
         }
     }
     void run(base::duration period) {
-        for (base::duration gone{}; gone < period; gone += step) {
+        for (base::duration elapsed{}; elapsed < period; elapsed += step) {
             tick();
         }
     }
     void carry_out(const coordinator_action& wanted) {
         if (const auto* told = std::get_if<tell_routers>(&wanted)) {
-            spread.push_back(told->notice.phase);
+            announced.push_back(told->notice.phase);
             return;
         }
-        if (store == store_manner::down) {
+        if (store == store_behavior::down) {
             coordinator.call_failed(now);
             return;
         }
@@ -98,7 +99,7 @@
         if (const auto* told = std::get_if<tell_status>(&wanted)) {
             statuses.push_back(told->phase);
         }
-        if (!done || store == store_manner::loses_answers) {
+        if (!done || store == store_behavior::loses_answers) {
             coordinator.call_failed(now);
         } else if (std::holds_alternative<read_record>(wanted)) {
             ++reads;
@@ -138,13 +139,13 @@
     fixture one;
     one.view.found = trial_verdict::good;
     one.run(26800ms);
-    cr_assert(one.phase() == trial, "the trial lasts until the shift");
+    cr_assert(one.phase() == trial, "the trial lasts until the switchover");
     cr_assert(one.statuses == phases{trial});
     cr_assert(one.row->ordered_after >= store_start && one.row->ordered_after <= store_start + 200);
     one.run(1s);
     cr_assert(one.ended_as(completed));
     cr_assert(one.phases == phases({trial, promoted, completed, completed}));
-    cr_assert(one.spread == phases({promoted, completed}));
+    cr_assert(one.announced == phases({promoted, completed}));
     cr_assert(one.row->replaced == std::set{v1});
     cr_assert(one.statuses == phases({trial, completed}));
 }
@@ -154,7 +155,7 @@
     one.run(3s);
     one.view.found = trial_verdict::bad;
     one.tick();
-    cr_assert(one.spread == phases{rolled_back});
+    cr_assert(one.announced == phases{rolled_back});
     one.run(1s);
     cr_assert(one.ended_as(rolled_back));
     cr_assert(one.row->refused == std::set{v2});
@@ -173,7 +174,7 @@
     cr_assert(one.row->replaced.empty());
 }
 
-Test(release_coordinator, two_routers_that_saw_it_are_believed_one_is_not) {
+Test(release_coordinator, two_bad_reports_suffice_and_one_does_not) {
     fixture one;
     one.reporters = 0;
     one.run(1s);
@@ -186,7 +187,7 @@
     cr_assert(one.ended_as(rolled_back));
 }
 
-Test(release_coordinator, a_router_that_was_told_of_a_roll_back_passes_it_on) {
+Test(release_coordinator, a_roll_back_reported_by_a_router_is_adopted) {
     fixture one;
     one.run(1s);
     one.coordinator.reported({base::router_name("x"), order_number(5), rolled_back}, one.now);
@@ -205,7 +206,7 @@
     cr_assert(one.phase() == trial);
 }
 
-Test(release_coordinator, undecided_at_the_shift_the_deadline_decides) {
+Test(release_coordinator, an_undecided_trial_is_decided_at_the_deadline) {
     for (const bool good : {true, false}) {
         fixture one;
         one.view.at_deadline = good ? trial_verdict::good : trial_verdict::bad;
@@ -216,7 +217,7 @@
     }
 }
 
-Test(release_coordinator, no_step_forward_without_fresh_reports_of_more_than_half) {
+Test(release_coordinator, no_step_forward_without_fresh_reports_of_a_majority) {
     fixture one;
     one.view.found = trial_verdict::good;
     one.reporters = 1;
@@ -227,7 +228,8 @@
     cr_assert(one.ended_as(completed), "late rather than never");
 }
 
-Test(release_coordinator, completed_waits_for_what_cannot_be_repeated_until_the_last_moment) {
+Test(release_coordinator,
+     completion_waits_for_non_repeatable_requests_until_shortly_before_the_deadline) {
     fixture one;
     one.view.found = trial_verdict::good;
     one.unrepeatable = 2;
@@ -237,7 +239,7 @@
     cr_assert(one.ended_as(completed));
 }
 
-Test(release_coordinator, a_version_nobody_runs_is_rolled_back) {
+Test(release_coordinator, a_version_without_engines_is_rolled_back) {
     for (const bool pool_known : {true, false}) {
         fixture one;
         one.view.listed = pool_known ? std::set{v1} : std::set<software_version>{};
@@ -251,7 +253,7 @@
     }
 }
 
-Test(release_coordinator, target_engines_that_all_go_after_the_promotion) {
+Test(release_coordinator, losing_all_target_engines_after_the_promotion_rolls_back) {
     fixture one;
     one.view.found = trial_verdict::good;
     one.unrepeatable = 1;
@@ -292,10 +294,10 @@
     next.put(record_of(5, v2, trial));
     next.view.listed = {v2};
     next.run(2s);
-    cr_assert(next.phase() == trial, "nor by one that takes over");
+    cr_assert(next.phase() == trial, "nor by one that takes over the release");
 }
 
-Test(release_coordinator, going_back_to_the_version_in_force_is_completed_at_once) {
+Test(release_coordinator, an_order_for_the_version_in_force_completes_at_once) {
     fixture one;
     one.put(record_of(4, v3, trial));
     one.view.listed = {v2, v3};
@@ -304,7 +306,7 @@
     cr_assert(one.row->refused == std::set{v3});
 }
 
-Test(release_coordinator, the_next_order_refuses_what_went_before) {
+Test(release_coordinator, the_next_order_refuses_earlier_targets) {
     for (const auto phase : {trial, promoted, completed, rolled_back}) {
         fixture one;
         release_record before = record_of(4, v3, phase);
@@ -331,13 +333,13 @@
     one.run(40s);
     cr_assert(one.phases.empty());
     cr_assert(one.statuses.empty());
-    cr_assert(one.spread.empty());
+    cr_assert(one.announced.empty());
     cr_assert_not(one.coordinator.notice().has_value());
     cr_assert(one.coordinator.done());
     cr_assert_eq(one.reads, 1U);
 }
 
-Test(release_coordinator, taken_over_at_any_step) {
+Test(release_coordinator, a_coordinator_can_take_over_at_any_step) {
     for (const bool told : {false, true}) {
         for (const auto phase : {trial, promoted, completed, rolled_back}) {
             fixture one;
@@ -350,13 +352,14 @@
             const auto end = phase == rolled_back ? rolled_back : completed;
             cr_assert(one.row->phase == end && one.row->status_told);
             cr_assert(one.coordinator.done());
-            cr_assert_eq(one.statuses.empty(), before.status_told, "told by who wrote it last");
-            cr_assert_eq(one.spread.empty(), before.status_told);
+            cr_assert_eq(one.statuses.empty(), before.status_told,
+                         "reported by the coordinator that wrote the record last");
+            cr_assert_eq(one.announced.empty(), before.status_told);
         }
     }
 }
 
-Test(release_coordinator, the_first_sight_holds_over_a_take_over) {
+Test(release_coordinator, the_time_of_the_order_survives_a_takeover) {
     fixture one;
     one.put(record_of(5, v2, trial));
     one.now += 26900ms;
@@ -366,39 +369,40 @@
     cr_assert(one.row->ordered_after == store_start);
 }
 
-Test(release_coordinator, store_down_nothing_goes_forward_back_is_told) {
+Test(release_coordinator, without_the_store_no_step_forward_but_a_roll_back_is_announced) {
     fixture one;
     one.run(2s);
-    one.store = store_manner::down;
+    one.store = store_behavior::down;
     one.view.found = trial_verdict::good;
     one.run(40s);
     cr_assert(one.phase() == trial);
-    cr_assert(one.spread.empty());
-    cr_assert_not(one.coordinator.notice().has_value(), "no grants by what may be outdated");
+    cr_assert(one.announced.empty());
+    cr_assert_not(one.coordinator.notice().has_value(),
+                  "no grants by a record that may be outdated");
     one.view.found = trial_verdict::bad;
     one.tick();
-    cr_assert(one.spread == phases{rolled_back});
+    cr_assert(one.announced == phases{rolled_back});
     cr_assert(one.coordinator.notice()->phase == rolled_back);
     cr_assert(one.coordinator.notice()->refused == std::set{v2});
     one.view.found = trial_verdict::good;
-    one.store = store_manner::answers;
+    one.store = store_behavior::answers;
     one.run(1500ms);
     cr_assert(one.ended_as(rolled_back));
-    cr_assert(one.spread == phases{rolled_back}, "told at once, and once");
+    cr_assert(one.announced == phases{rolled_back}, "announced at once and only once");
 }
 
-Test(release_coordinator, store_down_over_the_deadline_a_good_one_is_completed_late) {
+Test(release_coordinator, a_good_version_is_completed_late_if_the_store_is_down_over_the_deadline) {
     fixture one;
     one.run(2s);
-    one.store = store_manner::down;
+    one.store = store_behavior::down;
     one.view.found = trial_verdict::good;
     one.run(40s);
-    one.store = store_manner::answers;
+    one.store = store_behavior::answers;
     one.run(2s);
     cr_assert(one.ended_as(completed));
 }
 
-Test(release_coordinator, a_deadline_that_passed_unseen_is_decided_at_once) {
+Test(release_coordinator, a_deadline_that_has_passed_is_decided_at_once) {
     fixture one;
     one.put(record_of(5, v2, trial));
     one.now += 300s;
@@ -406,11 +410,11 @@
     cr_assert(one.ended_as(rolled_back));
 }
 
-Test(release_coordinator, store_down_from_the_start_the_first_sight_is_kept) {
+Test(release_coordinator, the_time_of_the_order_is_kept_if_the_store_is_down_from_the_start) {
     fixture one;
-    one.store = store_manner::down;
+    one.store = store_behavior::down;
     one.run(10s);
-    one.store = store_manner::answers;
+    one.store = store_behavior::answers;
     one.run(1s);
     cr_assert(one.row->ordered_after <= store_start + 200);
 }
@@ -420,9 +424,9 @@
         base::seeded_random random(seed);
         fixture one;
         one.view.found = trial_verdict::good;
-        for (base::duration gone{}; gone < 60s && !one.coordinator.done(); gone += step) {
+        for (base::duration elapsed{}; elapsed < 60s && !one.coordinator.done(); elapsed += step) {
             const bool lost = random.below(2) == 0;
-            one.store = lost ? store_manner::loses_answers : store_manner::answers;
+            one.store = lost ? store_behavior::loses_answers : store_behavior::answers;
             one.tick();
         }
         cr_assert(one.ended_as(completed));
@@ -431,7 +435,7 @@
     }
 }
 
-Test(release_coordinator, no_second_call_while_one_is_under_way) {
+Test(release_coordinator, no_second_call_while_one_is_in_flight) {
     release_coordinator one({order_number(5), pool, v2, 30s});
     const coordinator_view view;
     const base::monotonic_time now{1h};
@@ -442,26 +446,26 @@
     cr_assert_eq(one.tick(view, now + 61s).size(), 1U);
 }
 
-Test(release_coordinator, another_that_completed_holds_against_a_roll_back_not_written) {
+Test(release_coordinator, a_completion_by_another_coordinator_overrides_an_unwritten_roll_back) {
     fixture one;
     one.run(1s);
-    one.store = store_manner::down;
+    one.store = store_behavior::down;
     one.view.found = trial_verdict::bad;
     one.run(1s);
     release_record other = *one.row;
     other.phase = completed;
     other.replaced = {v1};
     one.put(other);
-    one.store = store_manner::answers;
+    one.store = store_behavior::answers;
     one.run(1s);
     cr_assert(one.ended_as(completed));
-    cr_assert(one.spread == phases({rolled_back, completed}));
+    cr_assert(one.announced == phases({rolled_back, completed}));
 }
 
-Test(release_coordinator, another_that_promoted_does_not_revert_a_roll_back) {
+Test(release_coordinator, a_promotion_by_another_coordinator_does_not_revert_a_roll_back) {
     fixture one;
     one.run(1s);
-    one.store = store_manner::down;
+    one.store = store_behavior::down;
     one.view.found = trial_verdict::bad;
     one.run(1s);
     one.view.found = trial_verdict::good;
@@ -469,13 +473,13 @@
     other.phase = promoted;
     other.replaced = {v1};
     one.put(other);
-    one.store = store_manner::answers;
+    one.store = store_behavior::answers;
     one.run(1s);
     cr_assert(one.ended_as(rolled_back));
-    cr_assert(one.spread == phases{rolled_back});
+    cr_assert(one.announced == phases{rolled_back});
 }
 
-Test(release_coordinator, woken_it_grants_nothing_before_it_has_read) {
+Test(release_coordinator, after_a_freeze_it_grants_nothing_before_it_has_read) {
     fixture one;
     one.run(20s);
     release_record other = *one.row;
@@ -489,10 +493,11 @@
     one.run(1s);
     cr_assert(one.phase() == rolled_back);
     cr_assert(one.coordinator.notice()->phase == rolled_back);
-    cr_assert(one.ended_as(rolled_back), "what the other left is told to operators");
+    cr_assert(one.ended_as(rolled_back),
+              "the phase that the other coordinator recorded is reported to operators");
 }
 
-Test(release_coordinator, woken_with_old_reports_it_steps_not_forward) {
+Test(release_coordinator, after_a_freeze_old_reports_allow_no_step_forward) {
     fixture one;
     one.view.found = trial_verdict::good;
     one.run(20s);
@@ -502,7 +507,7 @@
     cr_assert(one.phase() == trial);
 }
 
-Test(release_coordinator, woken_it_takes_no_waiting_report_for_fresh) {
+Test(release_coordinator, after_a_freeze_delayed_reports_are_not_fresh) {
     fixture one;
     one.view.found = trial_verdict::good;
     one.run(20s);
@@ -518,22 +523,22 @@
     cr_assert(one.ended_as(completed));
 }
 
-Test(release_coordinator, a_roll_back_decided_stays_decided_when_the_evidence_goes) {
+Test(release_coordinator, a_decided_roll_back_stands_when_the_evidence_disappears) {
     fixture one;
     one.run(1s);
-    one.store = store_manner::down;
+    one.store = store_behavior::down;
     one.reporters = 0;
     one.view.found = trial_verdict::bad;
     one.run(1s);
     one.view.found = trial_verdict::undecided;
     one.run(1s);
     cr_assert(one.coordinator.notice()->phase == rolled_back);
-    one.store = store_manner::answers;
+    one.store = store_behavior::answers;
     one.run(1s);
     cr_assert(one.ended_as(rolled_back));
 }
 
-Test(release_coordinator, a_row_that_got_lost_is_written_again) {
+Test(release_coordinator, a_lost_row_is_written_again) {
     fixture one;
     one.view.found = trial_verdict::good;
     one.run(10s);
@@ -546,7 +551,7 @@
     cr_assert(one.ended_as(completed));
 }
 
-Test(release_coordinator, engines_of_the_target_that_come_late_or_go_for_a_while) {
+Test(release_coordinator, target_engines_may_start_late_or_disappear_for_a_while) {
     fixture one;
     one.view.found = trial_verdict::good;
     for (const std::size_t engines : {0U, 2U, 0U, 1U}) {
@@ -567,10 +572,11 @@
     one.clock_known = true;
     one.run(1s);
     cr_assert(one.row.has_value());
-    cr_assert(one.row->ordered_after <= store_start + 200, "its first sight, reckoned back");
+    cr_assert(one.row->ordered_after <= store_start + 200,
+              "calculated back to when the order was first seen");
 }
 
-Test(release_coordinator, an_order_may_be_older_than_its_first_sight) {
+Test(release_coordinator, an_order_may_be_older_than_when_it_was_first_seen) {
     fixture one;
     one.coordinator = release_coordinator(one.coordinator.order());
     one.view.found = trial_verdict::good;
@@ -583,18 +589,18 @@
     cr_assert(one.ended_as(completed));
 }
 
-Test(release_coordinator, told_that_it_runs_too_late_the_end_is_told_again) {
+Test(release_coordinator, the_end_is_reported_again_after_a_late_running_status) {
     for (const bool answer_lost : {false, true}) {
         fixture one;
         one.run(200ms);
         cr_assert(one.statuses.empty());
-        one.store = answer_lost ? store_manner::loses_answers : store_manner::answers;
+        one.store = answer_lost ? store_behavior::loses_answers : store_behavior::answers;
         one.tick();
         cr_assert(one.statuses == phases{trial});
-        one.store = store_manner::answers;
+        one.store = store_behavior::answers;
         release_record other = *one.row;
         other.phase = rolled_back;
-        other.status_told = true;  // By another, a moment before this one told.
+        other.status_told = true;  // Set by another coordinator just before this one reported.
         one.put(other);
         one.run(2s);
         cr_assert(one.statuses == phases({trial, rolled_back}));
@@ -602,7 +608,7 @@
     }
 }
 
-Test(release_coordinator, a_clock_lost_later_is_replaced_by_its_own) {
+Test(release_coordinator, its_own_clock_replaces_a_lost_store_clock) {
     fixture one;
     one.view.found = trial_verdict::good;
     one.run(5s);
@@ -613,7 +619,7 @@
     cr_assert(one.ended_as(completed));
 }
 
-Test(release_coordinator, less_time_than_the_shift_takes) {
+Test(release_coordinator, less_time_than_the_switchover_takes) {
     for (const base::duration allowed : {base::duration(2s), base::duration(1s)}) {
         fixture one(allowed);
         one.view.found = trial_verdict::good;
--- a/test/coordination/rollout/unanswered_orders_test.cpp
+++ b/test/coordination/rollout/unanswered_orders_test.cpp
@@ -1,10 +1,10 @@
-/// New weights were named while the platform's workers left eight to nine of ten orders unanswered
-/// and carried them out 2 to 12 s later. Each unanswered order kept its engine among the few that
-/// load at once, and that engine was ordered again each second: 44 of 46 orders went unanswered,
-/// one engine got nine, and only ten of 18 engines had got any order when the 8 s were over within
-/// which requests may begin on older weights. In calm all 18 are ordered within 6 s. So an engine
-/// that may have lost its order must not hold the place of one that has had none, though not all
-/// engines may come to load at the same moment either.
+/// Guards against a rollout that stalls when orders get no answer. If engines leave eight to nine
+/// of ten orders unanswered and carry them out 2 to 12 s later, and each engine with an unanswered
+/// order keeps its place among the few that load at once and is ordered again each second, then 44
+/// of 46 orders are unanswered, one engine gets nine, and only ten of 18 engines have been ordered
+/// at all after the 8 s within which requests may start on older weights. Without faults all 18 are
+/// ordered within 6 s. An engine that may have lost its order must therefore not take the place of
+/// one that has had none, but not all engines may start to load at the same moment either.
 #include "ferryroad/base/random.hpp"
 #include "ferryroad/coordination/rollout/weights_rollout.hpp"
 
@@ -25,7 +25,7 @@
 constexpr base::monotonic_time start{100s};
 constexpr base::duration step_period = 50ms;
 constexpr base::duration load_time = 700ms;
-/// What an order that is never answered is waited for.
+/// Timeout of an order that is never answered.
 constexpr base::duration call_limit = 700ms;
 const std::string model = "m";
 const rollout_tunables tunables;
@@ -36,12 +36,13 @@
     base::monotonic_time due{};
 };
 
-/// An engine whose orders may be carried out late, when what they expect is looked at.
+/// An engine that may carry out orders late; their expectation is checked when they are carried
+/// out.
 struct late_engine {
     std::uint64_t version = 1;
     std::uint64_t orders_taken = 0;
     std::uint64_t loads = 0;
-    std::uint64_t loading = 0;  ///< Version being loaded; 0: none.
+    std::uint64_t loading = 0;  ///< Version being loaded; 0 if none.
     base::monotonic_time loaded_at{};
     std::vector<late_order> late;
 
@@ -67,7 +68,7 @@
         }
         std::erase_if(late, [&](const late_order& one) { return now >= one.due; });
     }
-    /// @return whether it loads, or may begin to at any time.
+    /// @return whether the engine is loading or may start to load at any time.
     bool may_load() const {
         const bool passes = std::any_of(late.begin(), late.end(), [&](const late_order& one) {
             return one.expected_orders == orders_taken;
@@ -144,7 +145,7 @@
     std::size_t may_load() const {
         return count([](const late_engine& one) { return one.may_load(); });
     }
-    /// @return when the last engine got its first order.
+    /// @return the time until the last engine got its first order.
     base::duration all_ordered() const {
         base::duration last{};
         for (const auto& [name, after] : first_order) {
@@ -154,7 +155,7 @@
     }
 
     double unanswered;
-    bool carried_out = true;  ///< Orders without answer are, late.
+    bool carried_out = true;  ///< Whether unanswered orders are carried out, late.
     base::seeded_random random;
     weights_rollout rollout{tunables};
     base::monotonic_time now = start;
@@ -170,7 +171,7 @@
 }  // namespace
 
 Test(unanswered_orders, every_engine_gets_its_first_order_in_time) {
-    // The last ones may still wait for a turn of those before them: a call and a report.
+    // The last engines may still wait for a call and a report of those before them.
     const base::duration bound = tunables.order_within + 1s;
     for (const std::size_t size : {1U, 2U, 3U, 7U, 18U, 300U}) {
         for (const double unanswered : {0.5, 0.8, 0.9, 1.0}) {
@@ -184,7 +185,7 @@
     }
 }
 
-Test(unanswered_orders, an_engine_without_answer_leaves_its_place_to_another) {
+Test(unanswered_orders, an_engine_with_an_unanswered_order_takes_no_place) {
     late_fleet fleet(18, 1.0, 1);
     fleet.run_until(step_period * 3);
     const std::size_t at_once = fleet.first_order.size();
@@ -193,7 +194,7 @@
     cr_assert_eq(fleet.first_order.size(), 2 * at_once);
 }
 
-Test(unanswered_orders, the_fleet_is_spared_if_all_are_carried_out_together) {
+Test(unanswered_orders, not_all_engines_load_if_all_orders_are_carried_out_together) {
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         late_fleet fleet(18, 1.0, seed);
         fleet.run_until(tunables.order_within / 2, [&] {
@@ -205,7 +206,7 @@
     }
 }
 
-Test(unanswered_orders, as_few_as_ever_load_at_once) {
+Test(unanswered_orders, no_more_engines_load_at_once_than_without_faults) {
     std::size_t most = 0;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         late_fleet fleet(18, 0.9, seed);
@@ -215,7 +216,7 @@
     cr_assert_leq(most, 6, "%zu of 18 loaded at once", most);
 }
 
-Test(unanswered_orders, when_orders_are_answered_again_no_more_load_than_may) {
+Test(unanswered_orders, the_load_limit_holds_when_orders_are_answered_again) {
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         late_fleet fleet(18, 1.0, seed);
         fleet.carried_out = false;
@@ -248,7 +249,7 @@
     cr_assert_leq(fleet.orders, 72U, "%zu orders in 4 s", fleet.orders);
 }
 
-Test(unanswered_orders, an_engine_in_doubt_serves_until_its_order_is_known_to_be_carried_out) {
+Test(unanswered_orders, an_engine_with_an_unanswered_order_serves_until_a_report_shows_it_loading) {
     weights_rollout rollout;
     const base::engine_name name("e0");
     const std::vector<engine_view> seen = {{name, model, 1, 0}};
@@ -270,7 +271,7 @@
     cr_assert(rollout.next(seen, start + 1s).coming.empty());
 }
 
-Test(unanswered_orders, what_is_carried_out_late_counts_as_loading_once_a_report_shows_it) {
+Test(unanswered_orders, a_late_order_counts_as_loading_once_a_report_shows_it) {
     late_fleet fleet(18, 1.0, 1);
     fleet.carried_out = false;
     fleet.run_until(1s);
