--- a/src/ferryroad/relay/crash_exchange.cpp
+++ b/src/ferryroad/relay/crash_exchange.cpp
@@ -15,8 +15,9 @@
     : m_ports(ports), m_self(std::move(self)), m_settings(settings) {}
 
 void crash_exchange::start() {
-    m_ports.quarantine.on_news({[this](const engine_crash& crash) { publish_crash(crash); },
-                                [this](const request_identity& one) { publish_cleared(one); }});
+    m_ports.quarantine.set_callbacks(
+        {[this](const engine_crash& crash) { publish_crash(crash); },
+         [this](const request_identity& one) { publish_cleared(one); }});
 }
 
 // ---- Publishing ----
--- a/src/ferryroad/relay/dispatch_log.cpp
+++ b/src/ferryroad/relay/dispatch_log.cpp
@@ -74,8 +74,8 @@
                   {"left_ms", std::to_string(base::to_milliseconds(plan.deadline - moment.now))}});
 }
 
-void log_withdrawal(const relay_plan& plan, const selected_engine& selected, dispatch_ground lost,
-                    base::duration waited, base::monotonic_time now) {
+void log_withdrawal(const relay_plan& plan, const selected_engine& selected,
+                    dispatch_precondition lost, base::duration waited, base::monotonic_time now) {
     runtime::log(runtime::log_level::warning, component, "withdrawn",
                  {{"request_id", plan.call->id.value},
                   {"digest", core::quarantine::to_string(plan.identity)},
--- a/src/ferryroad/relay/dispatch_log.hpp
+++ b/src/ferryroad/relay/dispatch_log.hpp
@@ -27,8 +27,8 @@
 
 /// Logs that a request was withdrawn from its engine because it must no longer begin there.
 /// @param lost the precondition that no longer holds. @param waited time since it was sent there.
-void log_withdrawal(const relay_plan& plan, const selected_engine& selected, dispatch_ground lost,
-                    base::duration waited, base::monotonic_time now);
+void log_withdrawal(const relay_plan& plan, const selected_engine& selected,
+                    dispatch_precondition lost, base::duration waited, base::monotonic_time now);
 
 /// Logs the prompt's shared parts at level debug; read by `scripts/explain-reads`.
 void log_prompt(const relay_plan& plan, const selected_engine& selected,
--- a/src/ferryroad/relay/dispatch_grounds.cpp
+++ b/src/ferryroad/relay/dispatch_preconditions.cpp
@@ -1,4 +1,4 @@
-#include "ferryroad/relay/dispatch_grounds.hpp"
+#include "ferryroad/relay/dispatch_preconditions.hpp"
 
 #include <utility>
 
@@ -6,10 +6,10 @@
 
 selection_query query_of(const relay_plan& plan, std::vector<base::engine_name> excluded) {
     return {*plan.call,  *plan.policy,        plan.pool,
-            plan.tenant, std::move(excluded), plan.on->target_gap};
+            plan.tenant, std::move(excluded), plan.matched_route->target_gap};
 }
 
-bool dispatch_grounds::key_is_valid() const {
+bool dispatch_preconditions::key_is_valid() const {
     if (m_plan.tenant == nullptr) {
         return true;
     }
@@ -19,39 +19,39 @@
            tenant->name == m_plan.tenant->name;
 }
 
-const core::quarantine::quarantined_request* dispatch_grounds::quarantine() const {
+const core::quarantine::quarantined_request* dispatch_preconditions::quarantine() const {
     return m_sources.quarantine == nullptr ? nullptr : m_sources.quarantine->find(m_plan.identity);
 }
 
 // A request whose exchange just broke is not retried if an engine has already crashed while running
 // it: it would most likely crash a third one. 3 crashes suffice for quarantine; without this check,
 // each repeatable request crashed 4 engines.
-bool dispatch_grounds::is_held_back() const {
+bool dispatch_preconditions::is_held_back() const {
     return quarantine() != nullptr || (m_broke && m_sources.quarantine != nullptr &&
                                        m_sources.quarantine->is_suspect(m_plan.identity));
 }
 
-std::optional<dispatch_ground> dispatch_grounds::lost_before_sending(
+std::optional<dispatch_precondition> dispatch_preconditions::lost_before_sending(
     const selected_engine& chosen, const known_engine* engine, base::monotonic_time now) const {
     if (!key_is_valid()) {
-        return dispatch_ground::key;
+        return dispatch_precondition::key;
     }
     if (is_held_back()) {
-        return dispatch_ground::no_quarantine;
+        return dispatch_precondition::no_quarantine;
     }
     if (engine == nullptr) {
-        return dispatch_ground::engine_process;
+        return dispatch_precondition::engine_process;
     }
     if (engine->listed.leaving) {
-        return dispatch_ground::engine_stays;
+        return dispatch_precondition::engine_stays;
     }
     if (!m_sources.selection.still_serves(chosen, query_of(m_plan), now)) {
-        return dispatch_ground::engine_serves;
+        return dispatch_precondition::engine_serves;
     }
-    return now < m_plan.deadline ? std::nullopt : std::optional(dispatch_ground::time_left);
+    return now < m_plan.deadline ? std::nullopt : std::optional(dispatch_precondition::time_left);
 }
 
-bool dispatch_grounds::can_be_lost() const {
+bool dispatch_preconditions::can_be_lost() const {
     return m_timing.is_waiting() &&
            (m_sources.quarantine != nullptr || m_timing.can_become_outdated());
 }
@@ -61,15 +61,15 @@
 //
 // Mere suspects are left waiting: when an engine crashes, every request in progress there becomes a
 // suspect, and most of them did not cause the crash.
-runtime::task<dispatch_ground> dispatch_grounds::until_lost() const {
+runtime::task<dispatch_precondition> dispatch_preconditions::until_lost() const {
     const bool can_become_outdated = m_timing.can_become_outdated();
     for (;;) {
         const base::monotonic_time now = m_sources.scheduler.now();
         if (quarantine() != nullptr) {
-            co_return dispatch_ground::no_quarantine;
+            co_return dispatch_precondition::no_quarantine;
         }
         if (can_become_outdated && m_timing.may_no_longer_begin(now)) {
-            co_return dispatch_ground::engine_serves;
+            co_return dispatch_precondition::engine_serves;
         }
         const auto check_at =
             can_become_outdated ? std::optional(m_timing.next_check(now)) : std::nullopt;
--- a/src/ferryroad/relay/dispatch_grounds.hpp
+++ b/src/ferryroad/relay/dispatch_preconditions.hpp
@@ -4,8 +4,8 @@
 #pragma once
 
 #include "ferryroad/base/time.hpp"
-#include "ferryroad/relay/begin_watch.hpp"
 #include "ferryroad/relay/engine_registry.hpp"
+#include "ferryroad/relay/exchange_timing.hpp"
 #include "ferryroad/relay/policy_source.hpp"
 #include "ferryroad/relay/relay_plan.hpp"
 #include "ferryroad/relay/request_quarantine.hpp"
@@ -40,10 +40,10 @@
 /// be valid when the request is sent, an engine that is shutting down or whose software is being
 /// replaced completes the requests it accepted before, a process that terminates closes its
 /// connections, and the deadline has a timer of its own.
-class dispatch_grounds {
+class dispatch_preconditions {
   public:
-    dispatch_grounds(precondition_sources sources, const relay_plan& plan,
-                     const exchange_timing& timing)
+    dispatch_preconditions(precondition_sources sources, const relay_plan& plan,
+                           const exchange_timing& timing)
         : m_sources(sources), m_plan(plan), m_timing(timing) {}
 
     /// @return whether the caller's API key is valid by a sufficiently fresh policy.
@@ -60,15 +60,15 @@
     /// @param chosen the selected engine.
     /// @param engine its registry entry, or null if its process is no longer registered.
     /// @return the first precondition that no longer holds, or nothing if all hold.
-    std::optional<dispatch_ground> lost_before_sending(const selected_engine& chosen,
-                                                       const known_engine* engine,
-                                                       base::monotonic_time now) const;
+    std::optional<dispatch_precondition> lost_before_sending(const selected_engine& chosen,
+                                                             const known_engine* engine,
+                                                             base::monotonic_time now) const;
     /// @return whether the request waits and `until_lost` may complete.
     bool can_be_lost() const;
     /// Completes when the request must no longer begin at the engine where it waits; otherwise runs
     /// until cancelled.
     /// @return the precondition that was lost.
-    runtime::task<dispatch_ground> until_lost() const;
+    runtime::task<dispatch_precondition> until_lost() const;
 
   private:
     precondition_sources m_sources;
--- a/src/ferryroad/relay/exchange_evidence.cpp
+++ b/src/ferryroad/relay/exchange_evidence.cpp
@@ -25,7 +25,7 @@
     if (!order) {
         return;
     }
-    m_result = exchange_result{plan.pool, plan.on->name, engine->listed.name,
+    m_result = exchange_result{plan.pool, plan.matched_route->name, engine->listed.name,
                                engine->listed.software, *order};
     m_result->timed = now >= engine->warm_at;
     m_began_at = now;
--- a/src/ferryroad/relay/begin_watch.cpp
+++ b/src/ferryroad/relay/exchange_timing.cpp
@@ -1,4 +1,4 @@
-#include "ferryroad/relay/begin_watch.hpp"
+#include "ferryroad/relay/exchange_timing.hpp"
 
 #include <algorithm>
 
--- a/src/ferryroad/relay/refusal.cpp
+++ b/src/ferryroad/relay/refusal.cpp
@@ -100,7 +100,7 @@
     return {cause_of(action.reason), action.report, action.retry_after};
 }
 
-http::response answer_of(const relay_refusal& refusal) {
+http::response to_response(const relay_refusal& refusal) {
     const unsigned status = status_of(refusal);
     const std::string_view type = status < 500 ? "invalid_request_error" : "server_error";
     http::response answer = http::error_answer(
--- a/src/ferryroad/relay/refusal.hpp
+++ b/src/ferryroad/relay/refusal.hpp
@@ -46,6 +46,6 @@
 /// @return the HTTP response. Requests refused for routing, credentials or quota get a 4xx status.
 /// Others get 503 only if the request has not run and never will; if it may have run, they get 502,
 /// or 504 after the deadline. `Retry-After` is sent with 429 and 503 only.
-http::response answer_of(const relay_refusal& refusal);
+http::response to_response(const relay_refusal& refusal);
 
 }  // namespace ferryroad::relay
--- a/src/ferryroad/relay/relay_driver.hpp
+++ b/src/ferryroad/relay/relay_driver.hpp
@@ -10,13 +10,13 @@
 #include "ferryroad/core/traffic/traffic_policy.hpp"
 #include "ferryroad/http/server.hpp"
 #include "ferryroad/quotas/quota_service.hpp"
-#include "ferryroad/relay/begin_watch.hpp"
 #include "ferryroad/relay/canary_traffic.hpp"
-#include "ferryroad/relay/dispatch_grounds.hpp"
 #include "ferryroad/relay/dispatch_log.hpp"
+#include "ferryroad/relay/dispatch_preconditions.hpp"
 #include "ferryroad/relay/distance_meter.hpp"
 #include "ferryroad/relay/engine_registry.hpp"
 #include "ferryroad/relay/exchange_evidence.hpp"
+#include "ferryroad/relay/exchange_timing.hpp"
 #include "ferryroad/relay/policy_source.hpp"
 #include "ferryroad/relay/refusal.hpp"
 #include "ferryroad/relay/relay_plan.hpp"
@@ -188,13 +188,14 @@
     /// is available, it goes to the current version.
     std::optional<selected_engine> choose_engine(selection_query query, base::monotonic_time now) {
         const bool first = m_outcome.dispatches == 0 && !m_plan.call->last_event_id;
-        query.canary = first && m_dependencies.releases != nullptr &&
-                       m_dependencies.releases->choose(m_plan.pool, m_plan.on->name, now);
+        query.canary =
+            first && m_dependencies.releases != nullptr &&
+            m_dependencies.releases->choose(m_plan.pool, m_plan.matched_route->name, now);
         if (query.canary) {
             if (auto chosen = m_dependencies.selection.select(query, now)) {
                 return chosen;
             }
-            m_dependencies.releases->give_back(m_plan.pool, m_plan.on->name);
+            m_dependencies.releases->give_back(m_plan.pool, m_plan.matched_route->name);
             query.canary = false;
         }
         return m_dependencies.selection.select(query, now);
@@ -233,7 +234,7 @@
 
     dispatch make_dispatch(const execution::dispatch_attempt& attempt) {
         dispatch sent;
-        sent.look_again = [this] { return check_before_sending(); };
+        sent.check_before_send = [this] { return check_before_sending(); };
         sent.call = m_plan.call;
         sent.time_left = m_timing.time_for_engine(m_dependencies.scheduler.now());
         if (m_plan.tenant != nullptr) {
@@ -265,7 +266,7 @@
         m_outcome.engine = m_selected.target.name.value;
         m_outcome.predicted_ms = m_selected.cost_ms;
         m_load.emplace(m_dependencies.registry, m_selected.target.name, m_selected.prefill_tokens,
-                       is_repeatable(*m_plan.on));
+                       is_repeatable(*m_plan.matched_route));
         const known_engine* engine = m_dependencies.registry.find(m_selected.target.name);
         m_engine_start = engine == nullptr ? std::nullopt : engine->listed.born;
         m_evidence.begin(m_plan, engine, expected_prefill(), now);
@@ -320,8 +321,8 @@
 
     /// @return the failure of a dispatch that lost a precondition while it waited at the engine, or
     /// while its connection was being opened. In the latter case the engine has not received it.
-    dispatch_failure failure_for(dispatch_ground lost) const {
-        if (!m_may_be_sent && lost != dispatch_ground::engine_serves) {
+    dispatch_failure failure_for(dispatch_precondition lost) const {
+        if (!m_may_be_sent && lost != dispatch_precondition::engine_serves) {
             return withheld_for(lost);
         }
         dispatch_failure withdrawn;
@@ -340,14 +341,15 @@
     base::duration silence_limit() const {
         const base::duration left =
             std::max(m_plan.deadline - m_dependencies.scheduler.now(), base::duration{});
-        const bool may_retry =
-            is_repeatable(*m_plan.on) && m_outcome.dispatches < m_plan.on->attempts;
+        const bool may_retry = is_repeatable(*m_plan.matched_route) &&
+                               m_outcome.dispatches < m_plan.matched_route->attempts;
         if (!may_retry) {
             return left;
         }
         const bool streaming = m_outcome.events > 0;
         const double factor = streaming ? m_tunables.gap_factor : m_tunables.latency_factor;
-        const base::duration target = streaming ? m_plan.on->target_gap : m_plan.on->target_latency;
+        const base::duration target =
+            streaming ? m_plan.matched_route->target_gap : m_plan.matched_route->target_latency;
         const base::duration allowed = base::from_seconds(base::to_seconds(target) * factor);
         const base::duration prefill = streaming ? base::duration{} : expected_prefill();
         return std::min(left, std::max(allowed, m_tunables.min_silence_limit) + prefill);
@@ -406,12 +408,12 @@
     /// Ends an exchange whose request has not begun and must no longer begin. Unless the engine
     /// refused the request itself, the connection is closed so that the engine drops it. Neither is
     /// recorded as a failure of the engine.
-    void withdraw(dispatch_ground lost, execution::failure_proof proof) {
+    void withdraw(dispatch_precondition lost, execution::failure_proof proof) {
         const base::monotonic_time now = m_dependencies.scheduler.now();
         m_lost_connection = false;
         log_withdrawal(m_plan, m_selected, lost, m_timing.since_sent(now), now);
         ++m_outcome.withdrawals;
-        if (lost == dispatch_ground::no_quarantine) {
+        if (lost == dispatch_precondition::no_quarantine) {
             m_outcome.quarantined_waiting = true;
             m_dependencies.quarantine->withdrawn(
                 m_selected.target.name, {m_plan.identity, m_exchange_began, m_plan.deadline});
@@ -431,7 +433,7 @@
         }
         // A dispatch that was not sent cannot be withdrawn, and costs no retry.
         if (!failure.lost && m_timing.may_no_longer_begin(now)) {
-            withdraw(dispatch_ground::engine_serves, failure.proof);
+            withdraw(dispatch_precondition::engine_serves, failure.proof);
             return;
         }
         const bool streaming = m_answer && m_answer->is_event_stream;
@@ -468,7 +470,7 @@
     void undo_dispatch() {
         --m_outcome.dispatches;
         if (m_selected.canary) {
-            m_dependencies.releases->give_back(m_plan.pool, m_plan.on->name);
+            m_dependencies.releases->give_back(m_plan.pool, m_plan.matched_route->name);
         }
     }
 
@@ -515,7 +517,7 @@
 
     runtime::task<void> read_answer() {
         auto read = co_await read_while_preconditions_hold();
-        if (const auto* lost = std::get_if<dispatch_ground>(&read)) {
+        if (const auto* lost = std::get_if<dispatch_precondition>(&read)) {
             handle_failure(failure_for(*lost));
             co_return;
         }
@@ -541,7 +543,7 @@
 
     /// Reads the next part of the answer. The preconditions still matter, as a stream's head may be
     /// received long before its first event, and the request waits until then.
-    runtime::task<std::variant<read_bytes, dispatch_ground>> read_while_preconditions_hold() {
+    runtime::task<std::variant<read_bytes, dispatch_precondition>> read_while_preconditions_hold() {
         using boost::asio::experimental::awaitable_operators::operator||;
         auto next = m_answer->body->next(wait_limit());
         if (!m_preconditions.can_be_lost()) {
@@ -562,7 +564,7 @@
         m_evidence.answered(m_answer->status, m_dependencies.scheduler.now());
         report_success();
         end_exchange();
-        if (m_last_answer->status >= first_failure_status && is_repeatable(*m_plan.on)) {
+        if (m_last_answer->status >= first_failure_status && is_repeatable(*m_plan.matched_route)) {
             feed(execution::exchange_failed{m_exchange, execution::failure_kind::engine_failure,
                                             execution::failure_proof::unknown, std::nullopt});
             return;
@@ -656,7 +658,7 @@
             engine->health.record_success();
         }
         if (m_dependencies.quarantine != nullptr) {
-            m_dependencies.quarantine->ended_well(m_plan.identity);
+            m_dependencies.quarantine->exchange_completed(m_plan.identity);
         }
     }
 
@@ -665,7 +667,7 @@
     runtime::task<void> finish() {
         if (m_head_sent) {
             m_dependencies.selection.record_gap(m_plan.pool, m_outcome.longest_gap,
-                                                m_plan.on->target_gap);
+                                                m_plan.matched_route->target_gap);
             co_await m_writer.end_stream();
             co_return;
         }
@@ -705,7 +707,7 @@
             co_await send(*m_last_answer);  // The engine's own error response is more specific.
             co_return;
         }
-        const http::response answer = answer_of(refusal);
+        const http::response answer = to_response(refusal);
         co_await send(answer);
     }
 
@@ -718,7 +720,7 @@
     core::execution::request_execution m_machine;
     exchange_evidence m_evidence;
     exchange_timing m_timing;
-    dispatch_grounds m_preconditions;
+    dispatch_preconditions m_preconditions;
     std::deque<execution::action> m_pending;
     selected_engine m_selected;
     std::optional<engine_load> m_load;
--- a/src/ferryroad/relay/relay_metrics.cpp
+++ b/src/ferryroad/relay/relay_metrics.cpp
@@ -21,7 +21,7 @@
 }  // namespace
 
 void relay_metrics::count_withdrawals(const relay_outcome& outcome) {
-    const auto count = [this](dispatch_ground lost, std::uint32_t times) {
+    const auto count = [this](dispatch_precondition lost, std::uint32_t times) {
         if (times > 0) {
             m_registry
                 .counter_of("ferryroad_relay_withdrawals_total",
@@ -31,12 +31,12 @@
         }
     };
     const std::uint32_t quarantined = outcome.quarantined_waiting ? 1 : 0;
-    count(dispatch_ground::no_quarantine, quarantined);
-    count(dispatch_ground::engine_serves, outcome.withdrawals - quarantined);
+    count(dispatch_precondition::no_quarantine, quarantined);
+    count(dispatch_precondition::engine_serves, outcome.withdrawals - quarantined);
 }
 
 void relay_metrics::request_ended(const relay_plan& plan, const relay_outcome& outcome) {
-    const std::string kind = kind_of(plan.on->kind);
+    const std::string kind = kind_of(plan.matched_route->kind);
     const std::string cause =
         outcome.refusal ? std::string(to_string(outcome.refusal->cause)) : "answered";
     m_registry
--- a/src/ferryroad/relay/relay_plan.cpp
+++ b/src/ferryroad/relay/relay_plan.cpp
@@ -26,15 +26,15 @@
 
 execution::execution_rules rules_of(const relay_plan& plan) {
     execution::execution_rules rules;
-    rules.repeatable = is_repeatable(*plan.on);
-    rules.streamed = plan.on->kind == core::traffic::request_kind::streaming;
+    rules.repeatable = is_repeatable(*plan.matched_route);
+    rules.streamed = plan.matched_route->kind == core::traffic::request_kind::streaming;
     rules.deadline = plan.deadline;
     return rules;
 }
 
 execution::tunables limits_of(const relay_plan& plan, const driver_tunables& tunables) {
     execution::tunables limits;
-    limits.executions = std::max(1U, plan.on->attempts);
+    limits.executions = std::max(1U, plan.matched_route->attempts);
     limits.attempts = limits.executions + tunables.extra_dispatches;
     limits.resumes_per_attempt = 0;
     limits.overloaded_refusals = limits.attempts;
--- a/src/ferryroad/relay/relay_plan.hpp
+++ b/src/ferryroad/relay/relay_plan.hpp
@@ -53,9 +53,10 @@
 /// A request and what it was resolved to.
 struct relay_plan {
     std::shared_ptr<const relay_call> call;
-    std::shared_ptr<const core::traffic::traffic_policy> policy;  ///< Owns `on` and `tenant`.
-    const core::traffic::route* on = nullptr;                     ///< The matching route.
-    const core::traffic::tenant* tenant = nullptr;                ///< Null on public routes.
+    std::shared_ptr<const core::traffic::traffic_policy>
+        policy;                                           ///< Owns `matched_route` and `tenant`.
+    const core::traffic::route* matched_route = nullptr;  ///< The matching route.
+    const core::traffic::tenant* tenant = nullptr;        ///< Null on public routes.
     base::pool_name pool;
     base::monotonic_time deadline{};
     std::uint32_t priority = 0;                   ///< 0 is the most urgent.
--- a/src/ferryroad/relay/relay_service.hpp
+++ b/src/ferryroad/relay/relay_service.hpp
@@ -99,7 +99,7 @@
         const auto resolved = resolve(call);
         if (const auto* refusal = std::get_if<relay_refusal>(&resolved)) {
             log_refusal(*call, *refusal);
-            http::response refused = answer_of(*refusal);
+            http::response refused = to_response(*refusal);
             co_await writer.send(std::move(refused));
             co_return;
         }
@@ -108,7 +108,7 @@
         if (over_quota) {
             relay_outcome outcome;
             outcome.refusal = over_quota;
-            http::response refused = answer_of(*over_quota);
+            http::response refused = to_response(*over_quota);
             outcome.status = refused.status;
             co_await writer.send(std::move(refused));
             m_on_outcome(plan, outcome);
@@ -125,7 +125,7 @@
         const core::traffic::tenant_quota& quota = *plan.tenant->quota;
         const quotas::rate_limit limit{base::revision(plan.policy->version()), quota.per_second,
                                        quota.burst};
-        const double amount = core::traffic::counted_amount(quota, plan.call->told_tokens);
+        const double amount = core::traffic::counted_amount(quota, plan.call->declared_tokens);
         const quotas::quota_decision decision =
             co_await m_dependencies.count_quota(plan.tenant->name, limit, amount);
         if (decision.verdict.granted) {
@@ -159,12 +159,12 @@
         // A policy without a recent confirmation may be outdated: a missing route or key may have
         // been added since.
         const bool can_refuse = m_dependencies.policies.refusals_hold(now);
-        plan.on = plan.policy->find_route(call->host, call->message.path());
-        if (plan.on == nullptr) {
+        plan.matched_route = plan.policy->find_route(call->host, call->message.path());
+        if (plan.matched_route == nullptr) {
             return refusal_of(can_refuse ? refusal_cause::no_route
                                          : refusal_cause::policy_not_fresh);
         }
-        if (plan.policy->needs_key(*plan.on)) {
+        if (plan.policy->needs_key(*plan.matched_route)) {
             plan.tenant = call->api_key ? plan.policy->find_tenant(*call->api_key) : nullptr;
             if (plan.tenant == nullptr) {
                 return refusal_of(can_refuse ? refusal_cause::unknown_key
@@ -174,12 +174,12 @@
                 return refusal_of(refusal_cause::policy_not_fresh);
             }
         }
-        plan.pool = m_rotations[plan.on->name].next(plan.on->pools);
-        const base::duration allowed =
-            std::min(call->time_left.value_or(plan.on->timeout), plan.on->timeout);
+        plan.pool = m_rotations[plan.matched_route->name].next(plan.matched_route->pools);
+        const base::duration allowed = std::min(
+            call->time_left.value_or(plan.matched_route->timeout), plan.matched_route->timeout);
         plan.deadline = call->arrived + allowed;
         const bool own_priority = plan.tenant != nullptr && plan.tenant->priority;
-        plan.priority = own_priority ? *plan.tenant->priority : plan.on->priority;
+        plan.priority = own_priority ? *plan.tenant->priority : plan.matched_route->priority;
         plan.identity = identity_of(plan);
         // Repeats of a request have new ids and arrive at any router. Without a check by identity,
         // one repeated request crashed 26 engines behind a fleet of 7 routers.
@@ -274,7 +274,7 @@
         runtime::log(
             level, component, "ended",
             {{"request_id", plan.call->id.value},
-             {"route", plan.on->name.value},
+             {"route", plan.matched_route->name.value},
              {"status", std::to_string(outcome.status)},
              {"cause", outcome.refusal ? std::string(to_string(outcome.refusal->cause))
                                        : std::string("answered")},
--- a/src/ferryroad/relay/request_quarantine.cpp
+++ b/src/ferryroad/relay/request_quarantine.cpp
@@ -138,7 +138,7 @@
     report_quarantined();
 }
 
-void request_quarantine::ended_well(const request_identity& request) {
+void request_quarantine::exchange_completed(const request_identity& request) {
     if (m_suspects.record_good_end(request, m_scheduler.now())) {
         report_cleared(request, "own exchange");
         if (m_callbacks.cleared) {
--- a/src/ferryroad/relay/request_quarantine.hpp
+++ b/src/ferryroad/relay/request_quarantine.hpp
@@ -78,7 +78,7 @@
                        quarantine_settings settings = {});
 
     /// Sets the callbacks for this router's findings. Call once, before any traffic.
-    void on_news(quarantine_callbacks callbacks) { m_callbacks = std::move(callbacks); }
+    void set_callbacks(quarantine_callbacks callbacks) { m_callbacks = std::move(callbacks); }
     /// Call once, before any traffic. @param callback called for each request when it is
     /// quarantined, whichever routers detected the crashes.
     void on_quarantined(std::function<void(const core::quarantine::request_identity&)> callback) {
@@ -101,7 +101,7 @@
     /// withdrawn request becomes a candidate for having caused it.
     void withdrawn(const base::engine_name& engine, const withdrawn_request& withdrawal);
     /// Reports that an engine completed its answer to the request, whatever the status.
-    void ended_well(const core::quarantine::request_identity& request);
+    void exchange_completed(const core::quarantine::request_identity& request);
     /// Reports that the engine of that name is a new process.
     void engine_restarted(const base::engine_name& engine);
     /// Reports that no engine of that name is registered any more.
--- a/src/ferryroad/relay/rollout_service.hpp
+++ b/src/ferryroad/relay/rollout_service.hpp
@@ -39,7 +39,7 @@
     std::string holder;  ///< This router's name.
     /// Waiting for the end of long streams would keep an engine idle for seconds before it loads.
     /// The pause of a stream that continues across the load is shorter.
-    running_requests running = running_requests::carry_on;
+    running_requests_policy running = running_requests_policy::pause_and_continue;
     base::duration step_interval = std::chrono::milliseconds(50);
     /// Timeout of a call to an engine.
     base::duration call_timeout = std::chrono::milliseconds(700);
--- a/src/ferryroad/relay/stream_admission.cpp
+++ b/src/ferryroad/relay/stream_admission.cpp
@@ -32,7 +32,7 @@
     : m_shedder(shedder),
       m_scheduler(scheduler),
       m_plan(plan),
-      m_is_stream(plan.on->kind == core::traffic::request_kind::streaming),
+      m_is_stream(plan.matched_route->kind == core::traffic::request_kind::streaming),
       m_draw(draw_of(plan.call->id)) {}
 
 bool stream_admission::refuses() {
@@ -56,7 +56,7 @@
 void stream_admission::sent() {
     ended();
     if (m_is_stream) {
-        m_number = m_shedder.sent(m_plan.on->target_latency, m_scheduler.now());
+        m_number = m_shedder.sent(m_plan.matched_route->target_latency, m_scheduler.now());
     }
 }
 
--- a/src/ferryroad/relay/types.cpp
+++ b/src/ferryroad/relay/types.cpp
@@ -2,25 +2,25 @@
 
 namespace ferryroad::relay {
 
-std::string_view to_string(dispatch_ground precondition) {
+std::string_view to_string(dispatch_precondition precondition) {
     switch (precondition) {
-        case dispatch_ground::key:
+        case dispatch_precondition::key:
             return "key";
-        case dispatch_ground::no_quarantine:
+        case dispatch_precondition::no_quarantine:
             return "no_quarantine";
-        case dispatch_ground::engine_process:
+        case dispatch_precondition::engine_process:
             return "engine_process";
-        case dispatch_ground::engine_stays:
+        case dispatch_precondition::engine_stays:
             return "engine_stays";
-        case dispatch_ground::engine_serves:
+        case dispatch_precondition::engine_serves:
             return "engine_serves";
-        case dispatch_ground::time_left:
+        case dispatch_precondition::time_left:
             break;
     }
     return "time_left";
 }
 
-dispatch_failure withheld_for(dispatch_ground precondition) {
+dispatch_failure withheld_for(dispatch_precondition precondition) {
     dispatch_failure failure;
     failure.kind = core::execution::failure_kind::withheld;
     failure.proof = core::execution::failure_proof::not_sent;
--- a/src/ferryroad/relay/types.hpp
+++ b/src/ferryroad/relay/types.hpp
@@ -29,8 +29,8 @@
     std::optional<base::duration> time_left;  ///< How long the caller waits, from `arrived`.
     std::optional<std::string> api_key;
     std::optional<core::prefix::declared_prompt> prompt;
-    std::optional<std::uint64_t> told_tokens;    ///< Prompt and expected answer, if declared.
-    std::optional<std::uint64_t> last_event_id;  ///< The caller resumes a stream after this.
+    std::optional<std::uint64_t> declared_tokens;  ///< Prompt and expected answer, if declared.
+    std::optional<std::uint64_t> last_event_id;    ///< The caller resumes a stream after this.
     base::monotonic_time arrived{};
 };
 
@@ -44,7 +44,7 @@
 
 /// A precondition of a dispatch. It holds when the engine is selected and may cease to hold while
 /// the connection is opened or while the request waits at the engine.
-enum class dispatch_ground {
+enum class dispatch_precondition {
     key,             ///< The caller's API key is valid.
     no_quarantine,   ///< The request is not quarantined for crashing engines.
     engine_process,  ///< The selected engine process is still registered.
@@ -54,12 +54,12 @@
 };
 
 /// @return the precondition's name for logs. Thread-safe.
-std::string_view to_string(dispatch_ground precondition);
+std::string_view to_string(dispatch_precondition precondition);
 
 /// Result of checking a dispatch's preconditions right before its first byte is written.
 struct last_look {
-    std::optional<dispatch_ground> lost;  ///< If set, the dispatch must not be sent.
-    base::duration time_left{};           ///< For the engine to work on the request.
+    std::optional<dispatch_precondition> lost;  ///< If set, the dispatch must not be sent.
+    base::duration time_left{};                 ///< For the engine to work on the request.
 
     friend bool operator==(const last_look&, const last_look&) = default;
 };
@@ -79,7 +79,7 @@
     /// If set, called once the connection is open and before any byte is written; checks the
     /// dispatch's preconditions again. Call it from the event loop's thread only, and not after
     /// `upstream::open` has returned.
-    std::function<last_look()> look_again;
+    std::function<last_look()> check_before_send;
 };
 
 /// An engine's answer whose head has been received.
@@ -98,18 +98,18 @@
     std::optional<base::duration> retry_after;
     std::optional<std::uint64_t> version;  ///< Weights version the engine reported.
     std::string message;
-    std::optional<dispatch_ground> lost;       ///< Why it was not sent, if so.
-    std::optional<dispatch_ground> withdrawn;  ///< Why it was cancelled while waiting, if so.
+    std::optional<dispatch_precondition> lost;       ///< Why it was not sent, if so.
+    std::optional<dispatch_precondition> withdrawn;  ///< Why it was cancelled while waiting, if so.
 };
 
 /// @return the failure of a dispatch that was not sent because `precondition` no longer held.
 /// Thread-safe.
-dispatch_failure withheld_for(dispatch_ground precondition);
+dispatch_failure withheld_for(dispatch_precondition precondition);
 
 /// What happens to the requests in progress at an engine that loads new weights.
-enum class running_requests {
-    end_first,  ///< The engine drains them before loading and accepts no new ones meanwhile.
-    carry_on    ///< They are paused and continue under the new weights.
+enum class running_requests_policy {
+    drain_first,  ///< The engine drains them before loading and accepts no new ones meanwhile.
+    pause_and_continue  ///< They are paused and continue under the new weights.
 };
 
 /// A fenced order for an engine to load a weights version.
@@ -117,7 +117,7 @@
     std::string model;
     std::uint64_t version = 0;
     std::uint64_t expected_orders = 0;  ///< The engine refuses if it has accepted others.
-    running_requests running = running_requests::end_first;
+    running_requests_policy running = running_requests_policy::drain_first;
     std::string holder;  ///< Name of the router that holds the rollout lease.
     base::fencing_token token;
 
--- a/src/ferryroad/relay/upstream.hpp
+++ b/src/ferryroad/relay/upstream.hpp
@@ -12,7 +12,8 @@
 
 namespace ferryroad::relay {
 
-/// - `open` calls `dispatch::look_again` once it has a connection, sends the dispatch, and returns
+/// - `open` calls `dispatch::check_before_send` once it has a connection, sends the dispatch, and
+/// returns
 ///   when the answer's head has been received. A failure states what it proves about whether the
 ///   request ran.
 /// - `report` queries an engine's state; it returns nothing if the engine does not answer.
--- a/test/relay/canary_traffic_test.cpp
+++ b/test/relay/canary_traffic_test.cpp
@@ -25,15 +25,15 @@
 struct fixture {
     engine_registry registry;
     canary_traffic traffic{registry, {}};
-    core::traffic::route on;
+    core::traffic::route matched_route;
     relay_plan plan;
 
     fixture() {
         add("e1", "v1", start);
         add("e2", "v1", start);
         traffic.confirmed(start);
-        on.name = route;
-        plan.on = &on;
+        matched_route.name = route;
+        plan.matched_route = &matched_route;
         plan.pool = pool;
     }
     void add(const char* name, const char* software, base::monotonic_time at) {
--- a/test/relay/crash_exchange_test.cpp
+++ b/test/relay/crash_exchange_test.cpp
@@ -223,7 +223,7 @@
     all.routers[1]->quarantine.exchange_broke(listed(2), bad, {});
     all.run_for(250ms);
     cr_assert_not_null(all.routers[0]->quarantine.find(bad));
-    all.routers[2]->quarantine.ended_well(bad);
+    all.routers[2]->quarantine.exchange_completed(bad);
     all.run_for(50ms);
     for (const auto& one : all.routers) {
         cr_assert_null(one->quarantine.find(bad), "%s", one->self.name.value.c_str());
@@ -237,7 +237,7 @@
 Test(crash_exchange, a_router_that_completed_the_request_corrects_the_sender) {
     fixture all(3);
     all.ended = {listed(1).address, listed(2).address, listed(3).address};
-    all.routers[2]->quarantine.ended_well(bad);
+    all.routers[2]->quarantine.exchange_completed(bad);
     for (std::uint16_t number = 1; number <= 3; ++number) {
         all.routers[0]->quarantine.exchange_broke(listed(number), bad, {});
     }
--- a/test/relay/fake_upstream.hpp
+++ b/test/relay/fake_upstream.hpp
@@ -107,7 +107,7 @@
         if (!answers.empty() && answers.front().connecting > base::duration{}) {
             co_await m_scheduler.sleep_for(answers.front().connecting);
         }
-        const last_look look = sent.look_again();
+        const last_look look = sent.check_before_send();
         looks.push_back(look);
         if (look.lost) {
             co_return withheld_for(*look.lost);  // Nothing was sent, so no answer is consumed.
--- a/test/relay/outdated_givers_test.cpp
+++ b/test/relay/outdated_state_sources_test.cpp
@@ -92,7 +92,7 @@
 
 }  // namespace
 
-Test(outdated_givers, state_is_fetched_from_an_engine_with_the_weights_of_the_scope) {
+Test(outdated_state_sources, state_is_fetched_from_an_engine_with_the_weights_of_the_scope) {
     selection_fixture fixture;
     fixture.report_held(source_engine, 2);
     const auto chosen = fixture.select({source_engine});
@@ -100,7 +100,7 @@
     cr_assert_str_eq(source_of(chosen).c_str(), "10.0.0.3:1");
 }
 
-Test(outdated_givers, no_state_is_fetched_from_an_engine_with_newer_weights) {
+Test(outdated_state_sources, no_state_is_fetched_from_an_engine_with_newer_weights) {
     selection_fixture fixture;
     fixture.registry.saw_version(source_engine, "m", 2);
     fixture.report_held(source_engine, 2);
@@ -110,7 +110,7 @@
     cr_assert_str_eq(source_of(chosen).c_str(), "10.0.0.9:9");
 }
 
-Test(outdated_givers, no_state_is_fetched_from_an_engine_about_to_load_newer_weights) {
+Test(outdated_state_sources, no_state_is_fetched_from_an_engine_about_to_load_newer_weights) {
     selection_fixture fixture;
     fixture.report_held(source_engine, 2);
     fixture.registry.expect_weights(source_engine, "m", 2, start + 1s);
@@ -121,7 +121,7 @@
     cr_assert_eq(later.fetchable_tokens, 9000, "without news, it is taken to have the old weights");
 }
 
-Test(outdated_givers, another_engine_that_holds_less_is_used_instead) {
+Test(outdated_state_sources, another_engine_that_holds_less_is_used_instead) {
     selection_fixture fixture;
     fixture.registry.saw_version(source_engine, "m", 2);
     fixture.report_held(source_engine, 2);
@@ -131,7 +131,7 @@
     cr_assert_str_eq(source_of(chosen).c_str(), "10.0.0.2:1");
 }
 
-Test(outdated_givers, state_is_fetched_from_a_store_whatever_weights_engines_have) {
+Test(outdated_state_sources, state_is_fetched_from_a_store_whatever_weights_engines_have) {
     selection_fixture fixture;
     fixture.registry.saw_version(source_engine, "m", 2);
     fixture.report_held(source_engine, 2);
--- a/test/relay/quarantine_withdrawal_test.cpp
+++ b/test/relay/quarantine_withdrawal_test.cpp
@@ -46,7 +46,8 @@
         }
         policies.offer(std::move(long_timeouts));
         policies.confirm(loop.scheduler.now());
-        quarantine.on_news({[this](const engine_crash& crash) { reported.push_back(crash); }, {}});
+        quarantine.set_callbacks(
+            {[this](const engine_crash& crash) { reported.push_back(crash); }, {}});
     }
     relay_call bad(const std::string& path) const {
         relay_call one = call(path);
--- a/test/relay/queueing_upstream.hpp
+++ b/test/relay/queueing_upstream.hpp
@@ -117,8 +117,8 @@
             unreached.push_back(sent.call->id.value);
             co_return failure(failure_kind::unreachable, failure_proof::not_sent);
         }
-        if (sent.look_again) {
-            const last_look look = sent.look_again();
+        if (sent.check_before_send) {
+            const last_look look = sent.check_before_send();
             if (look.lost) {
                 co_return withheld_for(*look.lost);
             }
--- a/test/relay/relay_plan_test.cpp
+++ b/test/relay/relay_plan_test.cpp
@@ -32,18 +32,18 @@
     for (const row& each :
          {row{request_kind::safe, false, true}, row{request_kind::unsafe, true, false},
           row{request_kind::streaming, false, false}, row{request_kind::streaming, true, true}}) {
-        core::traffic::route on;
-        on.kind = each.kind;
-        on.resumable = each.resumable;
-        cr_assert_eq(is_repeatable(on), each.repeatable);
+        core::traffic::route matched_route;
+        matched_route.kind = each.kind;
+        matched_route.resumable = each.resumable;
+        cr_assert_eq(is_repeatable(matched_route), each.repeatable);
     }
 }
 
 Test(relay_plan, executions_are_limited_by_the_route_and_dispatches_may_exceed_them) {
-    core::traffic::route on;
-    on.attempts = 2;
+    core::traffic::route matched_route;
+    matched_route.attempts = 2;
     relay_plan plan;
-    plan.on = &on;
+    plan.matched_route = &matched_route;
     driver_tunables tunables;
     tunables.extra_dispatches = 3;
     const auto limits = limits_of(plan, tunables);
--- a/test/relay/relay_service_test.cpp
+++ b/test/relay/relay_service_test.cpp
@@ -328,7 +328,7 @@
     cr_assert_not(header(fixture.writer, "Retry-After").empty());
     cr_assert_eq(fixture.upstream.answers.size(), 1, "nothing was sent");
     cr_assert_eq(fixture.outcomes.at(0).dispatches, 0);
-    cr_assert(fixture.upstream.looks.at(0).lost == dispatch_ground::key);
+    cr_assert(fixture.upstream.looks.at(0).lost == dispatch_precondition::key);
 }
 
 Test(relay_service, an_engine_that_shuts_down_while_a_connection_is_opened_has_not_failed) {
@@ -342,7 +342,7 @@
     fixture.loop.scheduler.spawn("leave", register_again_once_dispatched(fixture, true));
     fixture.serve(fixture.call("/unsafe/"));
     cr_assert_eq(fixture.writer.status, 503);
-    cr_assert(fixture.upstream.looks.at(0).lost == dispatch_ground::engine_stays);
+    cr_assert(fixture.upstream.looks.at(0).lost == dispatch_precondition::engine_stays);
     const known_engine* engine = fixture.registry.find(base::engine_name("e1"));
     cr_assert_not(engine->health.suspended(fixture.loop.scheduler.now()));
     cr_assert(engine->refuses_until <= fixture.loop.scheduler.now());
@@ -424,7 +424,7 @@
     limited_fixture fixture;
     fixture.decided.verdict = {false, 250ms, 7};
     relay_call call = fixture.call("/unsafe/");
-    call.told_tokens = 1540;
+    call.declared_tokens = 1540;
     fixture.serve_limited(std::move(call));
     cr_assert_eq(fixture.writer.status, 429);
     cr_assert(header(fixture.writer, "Retry-After") == "0.25");
--- a/test/relay/rollout_service_test.cpp
+++ b/test/relay/rollout_service_test.cpp
@@ -89,8 +89,8 @@
     at.run_for(20ms);
     cr_assert_eq(at.upstream.orders.size(), 3);
     for (const weights_order& order : at.upstream.orders) {
-        cr_assert(order == (weights_order{"m", 2, 4, running_requests::carry_on, "router-1",
-                                          base::fencing_token(1)}));
+        cr_assert(order == (weights_order{"m", 2, 4, running_requests_policy::pause_and_continue,
+                                          "router-1", base::fencing_token(1)}));
     }
     cr_assert_eq(at.registry.find(base::engine_name("e2"))->version_of("m"), 2);
 }
