--- a/src/ferryroad/relay/canary_traffic.cpp
+++ b/src/ferryroad/relay/canary_traffic.cpp
@@ -105,7 +105,7 @@
     if (known == m_pools.end()) {
         return false;
     }
-    own_release& own = known->second.own;
+    local_release& own = known->second.own;
     const bool was_bad = own.found.found == canary::verdict::bad;
     own.found = known->second.trial.look(own.counts);
     const bool just_found = !was_bad && own.found.found == canary::verdict::bad;
@@ -186,7 +186,7 @@
     }
 }
 
-std::optional<release::order_number> canary_traffic::order_under_way(
+std::optional<release::order_number> canary_traffic::order_in_progress(
     const base::pool_name& pool) const {
     if (m_pools.empty() || !m_gate.under_way(pool)) {
         return std::nullopt;
@@ -271,7 +271,7 @@
            !(notice && notice->refused.contains(engine.listed.software));
 }
 
-const own_release* canary_traffic::find(const base::pool_name& pool) const {
+const local_release* canary_traffic::find(const base::pool_name& pool) const {
     const auto known = m_pools.find(pool);
     return known == m_pools.end() ? nullptr : &known->second.own;
 }
--- a/src/ferryroad/relay/canary_traffic.hpp
+++ b/src/ferryroad/relay/canary_traffic.hpp
@@ -53,7 +53,7 @@
 };
 
 /// This router's state and counts for one release order.
-struct own_release {
+struct local_release {
     coordination::release::release_order order;
     std::optional<coordination::release::release_phase> phase;  ///< Last phase received.
     core::canary::counts_by_route counts;
@@ -98,7 +98,7 @@
     /// Returns the budget of a request that `choose` selected but that was not sent to the canary.
     void give_back(const base::pool_name& pool, const base::route_name& route);
     /// @return the pool's order in progress; nullopt if there is none.
-    std::optional<coordination::release::order_number> order_under_way(
+    std::optional<coordination::release::order_number> order_in_progress(
         const base::pool_name& pool) const;
     /// Counts the result of an exchange; ignored unless it began under the pool's current order.
     void ended(const exchange_result& result, base::monotonic_time now);
@@ -119,7 +119,7 @@
     std::optional<base::monotonic_time> confirmed_at() const { return m_confirmed_at; }
     const coordination::release::version_gate& gate() const { return m_gate; }
     /// @return this router's state of the pool's order; null if the pool has none.
-    const own_release* find(const base::pool_name& pool) const;
+    const local_release* find(const base::pool_name& pool) const;
     /// @return the number of this router's running requests that cannot be retried, at engines
     /// whose software the release replaces.
     std::uint32_t unrepeatable_at_replaced(const base::pool_name& pool) const;
@@ -127,7 +127,7 @@
   private:
     /// State of one pool since its current order was received.
     struct pool_release {
-        own_release own;
+        local_release own;
         core::canary::exposure_budget budget;
         core::canary::canary_trial trial;
         std::optional<coordination::release::phase_notice> last_notice;
--- a/src/ferryroad/relay/crash_exchange.cpp
+++ b/src/ferryroad/relay/crash_exchange.cpp
@@ -189,7 +189,7 @@
         peer::crash_news report;
         report.sender = m_self;
         report.owner_time =
-            static_cast<std::uint64_t>(m_ports.clock.to_owner(m_ports.scheduler.now()));
+            static_cast<std::uint64_t>(m_ports.clock.to_owner_earliest(m_ports.scheduler.now()));
         for (const engine_crash& crash : m_own_crashes) {
             report.crashes.push_back(to_message(crash));
         }
--- a/src/ferryroad/relay/crash_exchange.hpp
+++ b/src/ferryroad/relay/crash_exchange.hpp
@@ -7,7 +7,7 @@
 #include "ferryroad/peer/crash_message.hpp"
 #include "ferryroad/peer/transport.hpp"
 #include "ferryroad/platform/services.hpp"
-#include "ferryroad/relay/naming_journal.hpp"
+#include "ferryroad/relay/naming_record_sync.hpp"
 #include "ferryroad/relay/peer_group.hpp"
 #include "ferryroad/relay/request_quarantine.hpp"
 #include "ferryroad/runtime/scheduler.hpp"
--- a/src/ferryroad/relay/dispatch_preconditions.cpp
+++ b/src/ferryroad/relay/dispatch_preconditions.cpp
@@ -15,7 +15,7 @@
     }
     const auto current = m_sources.policies.current();
     const auto* tenant = current->find_tenant(*m_plan.call->api_key);
-    return m_sources.policies.keys_hold(m_sources.scheduler.now()) && tenant != nullptr &&
+    return m_sources.policies.keys_valid(m_sources.scheduler.now()) && tenant != nullptr &&
            tenant->name == m_plan.tenant->name;
 }
 
@@ -45,7 +45,7 @@
     if (engine->listed.leaving) {
         return dispatch_precondition::engine_stays;
     }
-    if (!m_sources.selection.still_serves(chosen, query_of(m_plan), now)) {
+    if (!m_sources.selection.is_still_valid(chosen, query_of(m_plan), now)) {
         return dispatch_precondition::engine_serves;
     }
     return now < m_plan.deadline ? std::nullopt : std::optional(dispatch_precondition::time_left);
--- a/src/ferryroad/relay/engine_registry.cpp
+++ b/src/ferryroad/relay/engine_registry.cpp
@@ -15,8 +15,8 @@
 }
 
 bool is_new_process(const listed_engine& before, const listed_engine& now) {
-    if (before.born && now.born) {
-        return before.born != now.born;
+    if (before.process_start_ms && now.process_start_ms) {
+        return before.process_start_ms != now.process_start_ms;
     }
     return before.address != now.address || now.warming > before.warming;
 }
@@ -75,7 +75,7 @@
         if (is_new) {
             engine.versions[model] = version;  // No event: every router reads it from the list.
         } else {
-            saw_version(one.name, model, version);
+            record_version(one.name, model, version);
         }
     }
 }
@@ -181,8 +181,8 @@
     return found;
 }
 
-void engine_registry::saw_version(const base::engine_name& name, const std::string& model,
-                                  std::uint64_t version) {
+void engine_registry::record_version(const base::engine_name& name, const std::string& model,
+                                     std::uint64_t version) {
     if (known_engine* engine = find(name)) {
         std::uint64_t& newest = engine->versions[model];
         if (version > newest) {
--- a/src/ferryroad/relay/engine_registry.hpp
+++ b/src/ferryroad/relay/engine_registry.hpp
@@ -34,7 +34,7 @@
     coordination::release::software_version software;
     base::duration warming{};  ///< Remaining warm-up time at the time the row was written.
     /// Start time of the process in Unix milliseconds on its own clock; nullopt if not reported.
-    std::optional<std::uint64_t> born;
+    std::optional<std::uint64_t> process_start_ms;
 
     friend bool operator==(const listed_engine&, const listed_engine&) = default;
 };
@@ -123,8 +123,8 @@
         m_on_newer_weights = std::move(handler);
     }
     /// Records the version of an engine's weights, as reported by the engine.
-    void saw_version(const base::engine_name& name, const std::string& model,
-                     std::uint64_t version);
+    void record_version(const base::engine_name& name, const std::string& model,
+                        std::uint64_t version);
     /// Records that an engine is announced to load weights. The announcement is not authoritative:
     /// it expires at `until`, and earlier if the engine reports newer weights.
     void expect_weights(const base::engine_name& name, const std::string& model,
--- a/src/ferryroad/relay/exchange_evidence.cpp
+++ b/src/ferryroad/relay/exchange_evidence.cpp
@@ -21,7 +21,7 @@
     if (m_releases == nullptr || engine == nullptr) {
         return;
     }
-    const auto order = m_releases->order_under_way(plan.pool);
+    const auto order = m_releases->order_in_progress(plan.pool);
     if (!order) {
         return;
     }
--- a/src/ferryroad/relay/exchange_timing.cpp
+++ b/src/ferryroad/relay/exchange_timing.cpp
@@ -27,7 +27,7 @@
     if (!m_plan.call->prompt) {
         return std::nullopt;
     }
-    m_selection.record_beginning(m_plan.pool, m_work, since_sent(now));
+    m_selection.record_begin_delay(m_plan.pool, m_work, since_sent(now));
     const auto since =
         version ? m_policies.outdated_since(m_plan.call->prompt->model, *version) : std::nullopt;
     return since ? std::optional(now - *since) : std::nullopt;
@@ -35,14 +35,14 @@
 
 void exchange_timing::ended(base::monotonic_time now) {
     if (m_plan.call->prompt && m_first_event_at) {
-        m_selection.record_run(m_plan.pool, m_work, now - *m_first_event_at);
+        m_selection.record_run_time(m_plan.pool, m_work, now - *m_first_event_at);
     }
 }
 
 void exchange_timing::withdrawn(base::monotonic_time now) {
     // A lower bound of the wait, since the request would have waited longer; later selections take
     // it into account.
-    m_selection.record_beginning(m_plan.pool, m_work, since_sent(now));
+    m_selection.record_begin_delay(m_plan.pool, m_work, since_sent(now));
 }
 
 std::optional<base::monotonic_time> exchange_timing::begin_by() const {
@@ -69,7 +69,7 @@
 
 bool exchange_timing::can_become_outdated() const {
     const bool is_version_bound = m_plan.call->prompt && m_expected_version;
-    return is_version_bound && is_waiting() && !m_stop_by && m_selection.limits_outdated() &&
+    return is_version_bound && is_waiting() && !m_stop_by && m_selection.has_outdated_limit() &&
            !begin_by();
 }
 
@@ -77,7 +77,7 @@
     if (const auto by = begin_by()) {
         return *by;
     }
-    const auto earliest = m_selection.earliest_limit();
+    const auto earliest = m_selection.earliest_deadline();
     return earliest && *earliest > now ? *earliest : now + unconfirmed_check_period;
 }
 
--- a/src/ferryroad/relay/naming_journal.cpp
+++ b/src/ferryroad/relay/naming_record_sync.cpp
@@ -1,4 +1,4 @@
-#include "ferryroad/relay/naming_journal.hpp"
+#include "ferryroad/relay/naming_record_sync.hpp"
 
 #include "ferryroad/runtime/log.hpp"
 
@@ -25,11 +25,11 @@
     m_known = true;
 }
 
-rollout::keeper_milliseconds owner_clock::to_owner(base::monotonic_time local) const {
+rollout::keeper_milliseconds owner_clock::to_owner_earliest(base::monotonic_time local) const {
     return base::to_milliseconds(local.time_since_epoch() + m_min_offset);
 }
 
-base::monotonic_time owner_clock::to_local(rollout::keeper_milliseconds owner) const {
+base::monotonic_time owner_clock::to_local_earliest(rollout::keeper_milliseconds owner) const {
     return base::monotonic_time(std::chrono::milliseconds(owner) - m_max_offset);
 }
 
@@ -41,21 +41,21 @@
     return base::monotonic_time(std::chrono::milliseconds(owner) - m_min_offset);
 }
 
-naming_journal::naming_journal(runtime::scheduler& scheduler, platform::table& table,
-                               policy_source& policies, std::function<bool()> leads,
-                               journal_settings settings)
+naming_record_sync::naming_record_sync(runtime::scheduler& scheduler, platform::table& table,
+                                       policy_source& policies, std::function<bool()> leads,
+                                       naming_record_sync_settings settings)
     : m_scheduler(scheduler),
       m_table(table),
       m_policies(policies),
       m_leads(std::move(leads)),
       m_settings(settings) {}
 
-void naming_journal::start() {
+void naming_record_sync::start() {
     m_policies.await_record(m_scheduler.now());
     m_scheduler.spawn(component, run());
 }
 
-runtime::task<void> naming_journal::run() {
+runtime::task<void> naming_record_sync::run() {
     bool read_done = false;
     while (!m_stopped && !read_done) {
         read_done = co_await read_record();
@@ -72,7 +72,7 @@
     }
 }
 
-runtime::task<bool> naming_journal::read_record() {
+runtime::task<bool> naming_record_sync::read_record() {
     if (!m_clock.known()) {
         co_return false;
     }
@@ -90,29 +90,29 @@
     for (const auto& [model, versions] : record->models) {
         for (const rollout::named_weights& one : versions) {
             m_policies.add_recorded_naming(model, one.version,
-                                           m_clock.to_local(one.accepted_after));
+                                           m_clock.to_local_earliest(one.accepted_after));
             recorded[model] = one.version;
         }
     }
-    m_policies.raise_unrecorded_namings(recorded, m_clock.to_local(record->confirmed_at));
+    m_policies.raise_unrecorded_namings(recorded, m_clock.to_local_earliest(record->confirmed_at));
     runtime::log(runtime::log_level::info, component, "naming record read",
                  {{"models", std::to_string(record->models.size())}});
     co_return true;
 }
 
-rollout::naming_record naming_journal::current_record() const {
+rollout::naming_record naming_record_sync::current_record() const {
     rollout::naming_record record;
-    record.confirmed_at = m_clock.to_owner(*m_policies.confirmed_at());
+    record.confirmed_at = m_clock.to_owner_earliest(*m_policies.confirmed_at());
     for (const auto& [model, history] : m_policies.versions()) {
         auto& versions = record.models[model];
         for (const named_version& one : history.named()) {
-            versions.push_back({one.version, m_clock.to_owner(one.accepted_after)});
+            versions.push_back({one.version, m_clock.to_owner_earliest(one.accepted_after)});
         }
     }
     return record;
 }
 
-runtime::task<void> naming_journal::write_record() {
+runtime::task<void> naming_record_sync::write_record() {
     platform::transaction change;
     change.writes.push_back({record_key, rollout::encode(current_record())});
     std::vector<platform::transaction> changes;
--- a/src/ferryroad/relay/naming_journal.hpp
+++ b/src/ferryroad/relay/naming_record_sync.hpp
@@ -28,9 +28,9 @@
     /// @return whether `observe` has been called. Precondition of the conversions below.
     bool known() const { return m_known; }
     /// @return the earliest time on the owner's clock that `local` can correspond to.
-    coordination::rollout::keeper_milliseconds to_owner(base::monotonic_time local) const;
+    coordination::rollout::keeper_milliseconds to_owner_earliest(base::monotonic_time local) const;
     /// @return the earliest time on this process's clock that `owner` can correspond to.
-    base::monotonic_time to_local(coordination::rollout::keeper_milliseconds owner) const;
+    base::monotonic_time to_local_earliest(coordination::rollout::keeper_milliseconds owner) const;
     /// @return the latest time on the owner's clock that `local` can correspond to.
     coordination::rollout::keeper_milliseconds to_owner_latest(base::monotonic_time local) const;
     /// @return the latest time on this process's clock that `owner` can correspond to.
@@ -42,7 +42,7 @@
     base::duration m_max_offset{};  ///< Upper bound of it.
 };
 
-struct journal_settings {
+struct naming_record_sync_settings {
     /// Time between two writes. Bounds how much too early a router that starts during an outage of
     /// the policy's owner dates a naming.
     base::duration period = std::chrono::milliseconds(1000);
@@ -52,11 +52,12 @@
 
 /// Must be used on the event loop's thread and must exist until the loop has ended. The objects
 /// passed to the constructor must outlive it.
-class naming_journal {
+class naming_record_sync {
   public:
     /// @param leads whether this router leads the rollout and may write the record.
-    naming_journal(runtime::scheduler& scheduler, platform::table& table, policy_source& policies,
-                   std::function<bool()> leads, journal_settings settings = {});
+    naming_record_sync(runtime::scheduler& scheduler, platform::table& table,
+                       policy_source& policies, std::function<bool()> leads,
+                       naming_record_sync_settings settings = {});
 
     /// Starts reading and writing. Must be called at most once.
     void start();
@@ -75,7 +76,7 @@
     platform::table& m_table;
     policy_source& m_policies;
     std::function<bool()> m_leads;
-    journal_settings m_settings;
+    naming_record_sync_settings m_settings;
     owner_clock m_clock;
     bool m_stopped = false;
 };
--- a/src/ferryroad/relay/peer_exchange.cpp
+++ b/src/ferryroad/relay/peer_exchange.cpp
@@ -229,7 +229,7 @@
     }
     m_applying_notice = true;
     for (const peer::seen_weights& seen : notice->weights) {
-        m_ports.registry.saw_version(seen.engine, seen.model, seen.version);
+        m_ports.registry.record_version(seen.engine, seen.model, seen.version);
     }
     m_applying_notice = false;
     for (const peer::loading_weights& one : notice->loading) {
--- a/src/ferryroad/relay/policy_source.cpp
+++ b/src/ferryroad/relay/policy_source.cpp
@@ -17,8 +17,9 @@
 
 }  // namespace
 
-policy_bounds policy_bounds_for(bool keys_need_confirmation, base::duration revocation) {
-    policy_bounds bounds;
+policy_staleness_limits policy_staleness_limits_for(bool keys_need_confirmation,
+                                                    base::duration revocation) {
+    policy_staleness_limits bounds;
     if (keys_need_confirmation) {
         bounds.key_confirmation =
             base::from_seconds(base::to_seconds(revocation) * confirmation_share);
@@ -38,7 +39,7 @@
     return true;
 }
 
-bool policy_source::name_version(const std::string& model, std::uint64_t version) {
+bool policy_source::add_named_version(const std::string& model, std::uint64_t version) {
     return m_versions[model].add({version, m_confirmed_at.value_or(base::monotonic_time{})});
 }
 
@@ -118,11 +119,11 @@
     return m_confirmed_at ? now - *m_confirmed_at : base::duration::max();
 }
 
-bool policy_source::keys_hold(base::monotonic_time now) const {
+bool policy_source::keys_valid(base::monotonic_time now) const {
     return !m_bounds.key_confirmation || age(now) < *m_bounds.key_confirmation;
 }
 
-bool policy_source::refusals_hold(base::monotonic_time now) const {
+bool policy_source::refusals_valid(base::monotonic_time now) const {
     return age(now) < m_bounds.refusal_confirmation;
 }
 
--- a/src/ferryroad/relay/policy_source.hpp
+++ b/src/ferryroad/relay/policy_source.hpp
@@ -53,7 +53,7 @@
 };
 
 /// How stale the policy may be for a decision.
-struct policy_bounds {
+struct policy_staleness_limits {
     /// API keys are accepted only if the policy was confirmed within this time; nullopt if keys are
     /// accepted without a confirmation.
     std::optional<base::duration> key_confirmation;
@@ -64,7 +64,8 @@
 /// @param keys_need_confirmation whether keys are rejected when the policy's owner cannot confirm
 /// them.
 /// @param revocation maximum time for which a revoked key may still be accepted.
-policy_bounds policy_bounds_for(bool keys_need_confirmation, base::duration revocation);
+policy_staleness_limits policy_staleness_limits_for(bool keys_need_confirmation,
+                                                    base::duration revocation);
 
 /// @param allowed how long requests may begin with older weights after newer ones were named.
 /// @return the shorter limit that this process applies, as the requests and cancellations it sends
@@ -74,16 +75,16 @@
 /// Must be used on the event loop's thread.
 class policy_source {
   public:
-    explicit policy_source(policy_bounds bounds) : m_bounds(bounds) {}
+    explicit policy_source(policy_staleness_limits bounds) : m_bounds(bounds) {}
 
-    void change_bounds(policy_bounds bounds) { m_bounds = bounds; }
+    void change_bounds(policy_staleness_limits bounds) { m_bounds = bounds; }
 
     /// Puts a policy in force if it is newer than the current one.
     /// @return whether it was.
     bool offer(core::traffic::declaration declared);
     /// Adds a newly named version of a model's weights.
     /// @return whether it is newer than all versions known.
-    bool name_version(const std::string& model, std::uint64_t version);
+    bool add_named_version(const std::string& model, std::uint64_t version);
     /// Adds what the naming record says about a version.
     /// @param moment lower bound of the time at which the version was named.
     void add_recorded_naming(const std::string& model, std::uint64_t version,
@@ -120,12 +121,12 @@
     /// @return time since the policy was last confirmed; the maximum duration if it never was.
     base::duration age(base::monotonic_time now) const;
     /// @return whether the policy is fresh enough to accept its API keys.
-    bool keys_hold(base::monotonic_time now) const;
+    bool keys_valid(base::monotonic_time now) const;
     /// @return whether the policy is fresh enough to refuse requests by it.
-    bool refusals_hold(base::monotonic_time now) const;
+    bool refusals_valid(base::monotonic_time now) const;
 
   private:
-    policy_bounds m_bounds;
+    policy_staleness_limits m_bounds;
     std::shared_ptr<const core::traffic::traffic_policy> m_current;
     std::map<std::string, version_history> m_versions;
     std::optional<base::monotonic_time> m_confirmed_at;
--- a/src/ferryroad/relay/relay_driver.hpp
+++ b/src/ferryroad/relay/relay_driver.hpp
@@ -13,7 +13,6 @@
 #include "ferryroad/relay/canary_traffic.hpp"
 #include "ferryroad/relay/dispatch_log.hpp"
 #include "ferryroad/relay/dispatch_preconditions.hpp"
-#include "ferryroad/relay/distance_meter.hpp"
 #include "ferryroad/relay/engine_registry.hpp"
 #include "ferryroad/relay/exchange_evidence.hpp"
 #include "ferryroad/relay/exchange_timing.hpp"
@@ -23,6 +22,7 @@
 #include "ferryroad/relay/request_quarantine.hpp"
 #include "ferryroad/relay/selection.hpp"
 #include "ferryroad/relay/stream_admission.hpp"
+#include "ferryroad/relay/traffic_meter.hpp"
 #include "ferryroad/relay/upstream.hpp"
 #include "ferryroad/relay/waiting_requests.hpp"
 #include "ferryroad/runtime/log.hpp"
@@ -69,7 +69,7 @@
     /// Quarantines requests that crash engines and receives how exchanges end; may be null.
     request_quarantine* quarantine = nullptr;
     /// Counts exchanged bytes by network distance; may be null.
-    distance_meter* meter = nullptr;
+    traffic_meter* meter = nullptr;
 };
 
 /// How a request ended, for logs and metrics.
@@ -268,7 +268,7 @@
         m_load.emplace(m_dependencies.registry, m_selected.target.name, m_selected.prefill_tokens,
                        is_repeatable(*m_plan.matched_route));
         const known_engine* engine = m_dependencies.registry.find(m_selected.target.name);
-        m_engine_start = engine == nullptr ? std::nullopt : engine->listed.born;
+        m_engine_start = engine == nullptr ? std::nullopt : engine->listed.process_start_ms;
         m_evidence.begin(m_plan, engine, expected_prefill(), now);
         const auto parts = m_dependencies.selection.record_dispatch(*m_plan.call, m_selected, now);
         if (m_dependencies.dispatched) {
@@ -280,7 +280,7 @@
         engine_target target = m_selected.target;
         meter(traffic_kind::request, size_of(m_plan.call->message));
         if (m_dependencies.meter != nullptr && m_selected.moved_bytes > 0) {
-            m_dependencies.meter->add(traffic_kind::state_moved, m_selected.moved_over,
+            m_dependencies.meter->add(traffic_kind::state_moved, m_selected.moved_distance,
                                       static_cast<std::uint64_t>(m_selected.moved_bytes));
         }
         dispatch sent = make_dispatch(attempt);
@@ -291,7 +291,8 @@
         }
         if (!m_plan.call->prompt) {
             const base::monotonic_time opened_at = m_dependencies.scheduler.now();
-            m_dependencies.selection.record_way(m_selected.zone, opened_at - now, opened_at);
+            m_dependencies.selection.record_path_latency(m_selected.zone, opened_at - now,
+                                                         opened_at);
         }
         record_weights_version(opened->version);
         m_answer = std::move(*opened);
@@ -379,8 +380,8 @@
     void record_weights_version(const std::optional<std::uint64_t>& version) {
         if (version && m_plan.call->prompt) {
             m_outcome.weights = version;
-            m_dependencies.registry.saw_version(m_selected.target.name, m_plan.call->prompt->model,
-                                                *version);
+            m_dependencies.registry.record_version(m_selected.target.name,
+                                                   m_plan.call->prompt->model, *version);
         }
     }
 
@@ -486,8 +487,8 @@
         broken_exchange how;
         how.silent = m_exchange_events == 0 && taken >= m_tunables.min_run_time;
         // A registration that expired and was renewed is not a new process.
-        how.replaced =
-            m_engine_start && listed->listed.born && m_engine_start != listed->listed.born;
+        how.replaced = m_engine_start && listed->listed.process_start_ms &&
+                       m_engine_start != listed->listed.process_start_ms;
         how.began = m_exchange_began;
         m_dependencies.quarantine->exchange_broke(m_selected.target, m_plan.identity, how);
     }
--- a/src/ferryroad/relay/relay_metrics.cpp
+++ b/src/ferryroad/relay/relay_metrics.cpp
@@ -187,13 +187,13 @@
     set("ferryroad_relay_releases_led", "Releases that this router coordinates.",
         static_cast<double>(now.releases_led));
     set_quarantine_gauges(now);
-    for (const own_release& one : now.releases) {
+    for (const local_release& one : now.releases) {
         set_release_gauges(one);
     }
     return m_registry.to_text();
 }
 
-void relay_metrics::set_release_gauges(const own_release& release) {
+void relay_metrics::set_release_gauges(const local_release& release) {
     using coordination::release::release_phase;
     const std::string& pool = release.order.pool.value;
     for (const auto phase : {release_phase::trial, release_phase::promoted,
@@ -219,7 +219,7 @@
     set_answer_gauges(release);
 }
 
-void relay_metrics::set_answer_gauges(const own_release& release) {
+void relay_metrics::set_answer_gauges(const local_release& release) {
     core::canary::outcome_counts current;
     core::canary::outcome_counts canary;
     for (const auto& [route, counted] : release.counts) {
--- a/src/ferryroad/relay/relay_metrics.hpp
+++ b/src/ferryroad/relay/relay_metrics.hpp
@@ -2,10 +2,10 @@
 /// Counters and histograms of relayed traffic.
 #pragma once
 
-#include "ferryroad/relay/distance_meter.hpp"
 #include "ferryroad/relay/policy_source.hpp"
 #include "ferryroad/relay/relay_driver.hpp"
 #include "ferryroad/relay/release_service.hpp"
+#include "ferryroad/relay/traffic_meter.hpp"
 #include "ferryroad/runtime/metrics.hpp"
 
 #include <cstddef>
@@ -47,7 +47,7 @@
     std::size_t quarantined_requests = 0;
     std::uint64_t crash_rows_written = 0;
     std::vector<metered_bytes> exchanged;
-    std::vector<own_release> releases;  ///< One for each pool with a release order.
+    std::vector<local_release> releases;  ///< One for each pool with a release order.
     release_counters release_traffic;
     std::size_t releases_led = 0;  ///< Releases that this router coordinates.
 };
@@ -66,8 +66,8 @@
   private:
     void set_quarantine_gauges(const relay_gauges& now);
     void count_withdrawals(const relay_outcome& outcome);
-    void set_release_gauges(const own_release& release);
-    void set_answer_gauges(const own_release& release);
+    void set_release_gauges(const local_release& release);
+    void set_answer_gauges(const local_release& release);
 
     runtime::metrics& m_registry;
 };
--- a/src/ferryroad/relay/relay_service.hpp
+++ b/src/ferryroad/relay/relay_service.hpp
@@ -158,7 +158,7 @@
         }
         // A policy without a recent confirmation may be outdated: a missing route or key may have
         // been added since.
-        const bool can_refuse = m_dependencies.policies.refusals_hold(now);
+        const bool can_refuse = m_dependencies.policies.refusals_valid(now);
         plan.matched_route = plan.policy->find_route(call->host, call->message.path());
         if (plan.matched_route == nullptr) {
             return refusal_of(can_refuse ? refusal_cause::no_route
@@ -170,7 +170,7 @@
                 return refusal_of(can_refuse ? refusal_cause::unknown_key
                                              : refusal_cause::policy_not_fresh);
             }
-            if (!m_dependencies.policies.keys_hold(now)) {
+            if (!m_dependencies.policies.keys_valid(now)) {
                 return refusal_of(refusal_cause::policy_not_fresh);
             }
         }
--- a/src/ferryroad/relay/release_service.cpp
+++ b/src/ferryroad/relay/release_service.cpp
@@ -170,7 +170,7 @@
     state.awaiting.reset();
 }
 
-std::vector<peer::release_report> release_service::reports_of(const own_release& own,
+std::vector<peer::release_report> release_service::reports_of(const local_release& own,
                                                               const report_state& state) const {
     peer::release_report head;
     head.sender = m_self;
@@ -196,7 +196,7 @@
     record_unanswered(pool, state, now);
     state.sent_at = now;
     ++state.number;
-    const own_release* own = m_traffic.find(pool);
+    const local_release* own = m_traffic.find(pool);
     if (own == nullptr) {
         return;
     }
@@ -324,7 +324,7 @@
         }
     }
     if (m_ports.clock.known()) {
-        view.store_now_earliest = m_ports.clock.to_owner(now);
+        view.store_now_earliest = m_ports.clock.to_owner_earliest(now);
         view.store_now_latest = m_ports.clock.to_owner_latest(now);
     }
     return view;
--- a/src/ferryroad/relay/release_service.hpp
+++ b/src/ferryroad/relay/release_service.hpp
@@ -15,7 +15,7 @@
 #include "ferryroad/relay/canary_traffic.hpp"
 #include "ferryroad/relay/engine_registry.hpp"
 #include "ferryroad/relay/gathered_reports.hpp"
-#include "ferryroad/relay/naming_journal.hpp"
+#include "ferryroad/relay/naming_record_sync.hpp"
 #include "ferryroad/relay/peer_group.hpp"
 #include "ferryroad/runtime/scheduler.hpp"
 
@@ -125,7 +125,7 @@
     /// that the end is recorded and published, each router may have to replace the coordinator.
     std::vector<base::pool_name> open_pools() const;
     void send_report(const base::pool_name& pool, report_state& state, base::monotonic_time now);
-    std::vector<peer::release_report> reports_of(const own_release& own,
+    std::vector<peer::release_report> reports_of(const local_release& own,
                                                  const report_state& state) const;
     void record_unanswered(const base::pool_name& pool, report_state& state,
                            base::monotonic_time now);
--- a/src/ferryroad/relay/rollout_lease.hpp
+++ b/src/ferryroad/relay/rollout_lease.hpp
@@ -8,7 +8,7 @@
 #include "ferryroad/base/ids.hpp"
 #include "ferryroad/base/time.hpp"
 #include "ferryroad/leases/lease_service.hpp"
-#include "ferryroad/relay/naming_journal.hpp"
+#include "ferryroad/relay/naming_record_sync.hpp"
 
 #include <cstddef>
 #include <cstdint>
--- a/src/ferryroad/relay/rollout_service.hpp
+++ b/src/ferryroad/relay/rollout_service.hpp
@@ -188,7 +188,7 @@
             m_rollout.report_lost(name, now);
             co_return;
         }
-        m_ports.registry.saw_version(name, model, report->version);
+        m_ports.registry.record_version(name, model, report->version);
         if (m_rollout.under_way(name) && report->version >= m_rollout.wanted(model)) {
             m_unannounced.loaded.push_back({name, model, report->version});
         }
--- a/src/ferryroad/relay/selection.cpp
+++ b/src/ferryroad/relay/selection.cpp
@@ -67,7 +67,7 @@
     return *outdated + *m_settings.outdated_limit;
 }
 
-std::optional<base::monotonic_time> engine_selection::earliest_limit() const {
+std::optional<base::monotonic_time> engine_selection::earliest_deadline() const {
     const auto confirmed_at = m_policies.confirmed_at();
     if (!confirmed_at || !m_settings.outdated_limit) {
         return std::nullopt;
@@ -75,8 +75,8 @@
     return *confirmed_at + *m_settings.outdated_limit;
 }
 
-bool engine_selection::still_serves(const selected_engine& chosen, const selection_query& query,
-                                    base::monotonic_time now) const {
+bool engine_selection::is_still_valid(const selected_engine& chosen, const selection_query& query,
+                                      base::monotonic_time now) const {
     const known_engine* engine = m_registry.find(chosen.target.name);
     if (engine == nullptr || !may_serve(*engine, query, now)) {
         return false;
@@ -120,7 +120,7 @@
         return engine->listed.zone;
     }
     for (const core::traffic::state_store& store : query.policy.declared().stores) {
-        if (holder_of(store) == holder) {
+        if (holder_name_of(store) == holder) {
             return store.zone;
         }
     }
@@ -341,8 +341,8 @@
     // Newer weights may have been named right after the last confirmation, or may be named while
     // the request waits. While the policy's owner is unreachable nothing can be named, so running
     // requests need no deadline.
-    const auto earliest = earliest_limit();
-    if (!earliest || !m_policies.refusals_hold(now)) {
+    const auto earliest = earliest_deadline();
+    if (!earliest || !m_policies.refusals_valid(now)) {
         return std::nullopt;
     }
     const auto limit = forecast_of(query.pool).limit_for(work, *earliest, now);
@@ -539,7 +539,7 @@
         return;
     }
     chosen.moved_bytes = static_cast<double>(tokens) * pool->model->kv_token_bytes;
-    chosen.moved_over = m_settings.zones.between(chosen.fetched_state_zone, chosen.zone);
+    chosen.moved_distance = m_settings.zones.between(chosen.fetched_state_zone, chosen.zone);
 }
 
 std::vector<core::traffic::state_store> engine_selection::stores_for(
@@ -561,11 +561,11 @@
     if (home == nullptr) {
         return 0;
     }
-    std::uint64_t most = prompt.held_by(holder_of(*home));
+    std::uint64_t most = prompt.held_by(holder_name_of(*home));
     chosen.fetch_state_from = home->address;
     chosen.fetched_state_zone = home->zone;
     for (const core::traffic::state_store& store : stores) {
-        const std::uint64_t held = prompt.held_by(holder_of(store));
+        const std::uint64_t held = prompt.held_by(holder_name_of(store));
         if (held > most) {
             most = held;
             chosen.fetch_state_from = store.address;
@@ -617,7 +617,7 @@
     return parts;
 }
 
-base::engine_name holder_of(const core::traffic::state_store& store) {
+base::engine_name holder_name_of(const core::traffic::state_store& store) {
     return base::engine_name("store/" + store.address.to_string());
 }
 
--- a/src/ferryroad/relay/selection.hpp
+++ b/src/ferryroad/relay/selection.hpp
@@ -86,7 +86,7 @@
     double path_ms = 0;                ///< Network latency in excess of that within the own zone.
     std::uint64_t prefill_tokens = 0;  ///< Prompt tokens that the engine is expected to compute.
     double moved_bytes = 0;            ///< Estimated size of the fetched KV state.
-    core::topology::distance moved_over = core::topology::distance::same_zone;
+    core::topology::distance moved_distance = core::topology::distance::same_zone;
     bool canary = false;  ///< The request was selected for the canary version.
     double cost_ms = 0;
     std::size_t candidates = 0;
@@ -113,16 +113,16 @@
     void change_settings(selection_settings settings) { m_settings = std::move(settings); }
     /// From now on, engines get only the requests that the release state of their software allows.
     /// @param releases must outlive this object.
-    void follow_releases(const canary_traffic& releases) { m_releases = &releases; }
+    void set_releases(const canary_traffic& releases) { m_releases = &releases; }
     /// @param is_connected whether an idle connection to an engine is open. If not set, all engines
     /// count as connected.
-    void ask_connections(std::function<bool(const base::endpoint&)> is_connected) {
+    void set_connection_check(std::function<bool(const base::endpoint&)> is_connected) {
         m_is_connected = std::move(is_connected);
     }
 
     /// @param knows_holders whether the cached state of all engines is followed. If not set, it is
     /// taken to be.
-    void ask_knowledge(std::function<bool()> knows_holders) {
+    void set_holders_known_check(std::function<bool()> knows_holders) {
         m_knows_holders = std::move(knows_holders);
     }
 
@@ -134,7 +134,8 @@
 
     /// Records the latency to a zone.
     /// @param took time until an engine of the zone began its answer to a request without a prompt.
-    void record_way(const base::zone_name& zone, base::duration took, base::monotonic_time now) {
+    void record_path_latency(const base::zone_name& zone, base::duration took,
+                             base::monotonic_time now) {
         m_paths.record(zone, took, now);
     }
 
@@ -143,8 +144,8 @@
     /// Checks a selection again after some time has passed. Load and cost are not recomputed.
     /// @param chosen selected for the same query.
     /// @return whether its engine may still get the request.
-    bool still_serves(const selected_engine& chosen, const selection_query& query,
-                      base::monotonic_time now) const;
+    bool is_still_valid(const selected_engine& chosen, const selection_query& query,
+                        base::monotonic_time now) const;
     /// Records that the engine computes the prompt of a dispatch and is expected to hold the
     /// prompt's parts in its KV cache.
     /// @return these parts.
@@ -165,19 +166,19 @@
     std::optional<base::monotonic_time> begin_by(const std::string& model,
                                                  std::uint64_t version) const;
     /// @return whether there is a limit on how long outdated weights may be used.
-    bool limits_outdated() const { return m_settings.outdated_limit.has_value(); }
+    bool has_outdated_limit() const { return m_settings.outdated_limit.has_value(); }
     /// @return the earliest deadline that naming newer weights from now on could impose on requests
     /// that use the newest weights known; nullopt without a limit or a confirmed policy.
-    std::optional<base::monotonic_time> earliest_limit() const;
+    std::optional<base::monotonic_time> earliest_deadline() const;
     /// Records how long a request with a prompt took to begin, or waited without beginning.
     /// @param took time since the request was sent.
-    void record_beginning(const base::pool_name& pool, const core::placement::expected_work& work,
-                          base::duration took) {
+    void record_begin_delay(const base::pool_name& pool, const core::placement::expected_work& work,
+                            base::duration took) {
         m_forecasts[pool].began(work.tokens_before, took);
     }
     /// Records how long an answer took, from its beginning to its end.
-    void record_run(const base::pool_name& pool, const core::placement::expected_work& work,
-                    base::duration took) {
+    void record_run_time(const base::pool_name& pool, const core::placement::expected_work& work,
+                         base::duration took) {
         m_forecasts[pool].ended(work.output_tokens, took);
     }
 
@@ -323,7 +324,7 @@
 };
 
 /// @return the holder name under which a store's state is tracked.
-base::engine_name holder_of(const core::traffic::state_store& store);
+base::engine_name holder_name_of(const core::traffic::state_store& store);
 
 /// @return the scope in which prompt state may be shared: a version of the weights and, for an
 /// isolated tenant, that tenant.
--- a/src/ferryroad/relay/state_follower.hpp
+++ b/src/ferryroad/relay/state_follower.hpp
@@ -156,7 +156,7 @@
         m_warm.forget(name);
     }
     /// Records that a router of the block sent a prompt to the holder.
-    void used(const base::engine_name& name) {
+    void mark_used(const base::engine_name& name) {
         const auto found = m_holders.find(name);
         if (found == m_holders.end()) {
             return;
--- a/src/ferryroad/relay/table_follower.hpp
+++ b/src/ferryroad/relay/table_follower.hpp
@@ -58,7 +58,7 @@
     /// Recognizes changes that need not be passed on to other routers; if empty, all are passed on.
     coordination::reading::same_meaning same_meaning;
     base::duration first_backoff = std::chrono::milliseconds(100);
-    base::duration longest_backoff = std::chrono::milliseconds(400);
+    base::duration max_backoff = std::chrono::milliseconds(400);
     /// Consecutive failed calls after which the loss of the table is logged.
     std::uint32_t faults_until_lost = 2;
 };
@@ -203,7 +203,7 @@
 
     base::duration jittered_backoff() {
         const base::duration delay = m_backoff;
-        m_backoff = std::min(2 * m_backoff, m_settings.longest_backoff);
+        m_backoff = std::min(2 * m_backoff, m_settings.max_backoff);
         return base::from_seconds(base::to_seconds(delay) * (0.5 + m_scheduler.random().unit()));
     }
 
--- a/src/ferryroad/relay/distance_meter.cpp
+++ b/src/ferryroad/relay/traffic_meter.cpp
@@ -1,4 +1,4 @@
-#include "ferryroad/relay/distance_meter.hpp"
+#include "ferryroad/relay/traffic_meter.hpp"
 
 namespace ferryroad::relay {
 
@@ -22,14 +22,14 @@
     return "table";
 }
 
-void distance_meter::set_routers(const std::vector<peer_address>& present) {
+void traffic_meter::set_routers(const std::vector<peer_address>& present) {
     m_zone_of.clear();
     for (const peer_address& one : present) {
         m_zone_of[one.address] = one.zone;
     }
 }
 
-void distance_meter::add(traffic_kind kind, core::topology::distance away, std::uint64_t bytes) {
+void traffic_meter::add(traffic_kind kind, core::topology::distance away, std::uint64_t bytes) {
     metered_bytes& counted = m_counted[{kind, away}];
     counted.kind = kind;
     counted.away = away;
@@ -37,12 +37,12 @@
     counted.bytes += bytes;
 }
 
-void distance_meter::add(traffic_kind kind, const base::endpoint& router, std::uint64_t bytes) {
+void traffic_meter::add(traffic_kind kind, const base::endpoint& router, std::uint64_t bytes) {
     const auto found = m_zone_of.find(router);
     add(kind, found == m_zone_of.end() ? m_self : found->second, bytes);
 }
 
-std::vector<metered_bytes> distance_meter::totals() const {
+std::vector<metered_bytes> traffic_meter::totals() const {
     std::vector<metered_bytes> all;
     all.reserve(m_counted.size());
     for (const auto& [key, counted] : m_counted) {
--- a/src/ferryroad/relay/distance_meter.hpp
+++ b/src/ferryroad/relay/traffic_meter.hpp
@@ -43,9 +43,9 @@
 };
 
 /// Must be used on the event loop's thread.
-class distance_meter {
+class traffic_meter {
   public:
-    distance_meter(base::zone_name self, core::topology::zone_map zones)
+    traffic_meter(base::zone_name self, core::topology::zone_map zones)
         : m_self(std::move(self)), m_zones(std::move(zones)) {}
 
     /// Sets the routers whose zones are known. Traffic to any other router counts as same-zone.
@@ -72,7 +72,7 @@
 /// as one kind of traffic. The objects passed to the constructor must outlive it.
 class metered_transport final : public peer::transport {
   public:
-    metered_transport(peer::transport& inner, distance_meter& meter, traffic_kind kind)
+    metered_transport(peer::transport& inner, traffic_meter& meter, traffic_kind kind)
         : m_inner(inner), m_meter(meter), m_kind(kind) {}
 
     void on_datagram(datagram_handler handler) override { m_inner.on_datagram(std::move(handler)); }
@@ -85,7 +85,7 @@
 
   private:
     peer::transport& m_inner;
-    distance_meter& m_meter;
+    traffic_meter& m_meter;
     traffic_kind m_kind;
 };
 
--- a/src/ferryroad/relay/tunables.hpp
+++ b/src/ferryroad/relay/tunables.hpp
@@ -21,12 +21,12 @@
 /// be, so that each router's part of a limit is not too large.
 inline constexpr std::size_t assumed_routers = 100;
 /// Time between two checks for changes of the settings file.
-inline constexpr base::duration settings_look_period = std::chrono::seconds(1);
+inline constexpr base::duration settings_check_period = std::chrono::seconds(1);
 
 /// Settings for following the operators' declarations, which must be in force at once: calls wait
 /// for changes. An answer without changes confirms the copy, which is thus at most twice `wait`
 /// old. That is well within the time in which a revoked key must stop being accepted.
-inline follower_settings follow_declarations(std::string table) {
+inline follower_settings declaration_follower_settings(std::string table) {
     follower_settings settings;
     settings.table = std::move(table);
     settings.wait = std::chrono::milliseconds(750);
@@ -39,8 +39,8 @@
 
 /// Settings for following the engine list. Other routers pass on relevant changes as soon as they
 /// receive them.
-inline follower_settings follow_engines(std::string table,
-                                        coordination::reading::same_meaning same_meaning) {
+inline follower_settings engine_list_follower_settings(
+    std::string table, coordination::reading::same_meaning same_meaning) {
     follower_settings settings;
     settings.table = std::move(table);
     settings.same_meaning = std::move(same_meaning);
@@ -68,7 +68,7 @@
 
 /// Settings for following the list of routers. It changes seldom and nothing waits for it, but
 /// routers that start together all read the store until they know each other.
-inline follower_settings follow_routers(std::string table) {
+inline follower_settings router_list_follower_settings(std::string table) {
     follower_settings settings;
     settings.table = std::move(table);
     settings.key_prefixes = {std::string(leases::presence_key_prefix),
@@ -105,11 +105,11 @@
 /// to read the owner themselves.
 inline constexpr std::uint32_t contact_count = 16;
 /// Timeout of the call that gets the contacts.
-inline constexpr base::duration contact_call_limit = std::chrono::milliseconds(700);
+inline constexpr base::duration contact_call_timeout = std::chrono::milliseconds(700);
 /// How long a starting router waits for its own row to be listed before it looks for others.
-inline constexpr base::duration listing_limit = std::chrono::milliseconds(1500);
+inline constexpr base::duration listing_timeout = std::chrono::milliseconds(1500);
 /// Time between two checks for the own row.
-inline constexpr base::duration listing_look = std::chrono::milliseconds(10);
+inline constexpr base::duration listing_check_period = std::chrono::milliseconds(10);
 
 /// @return the freshness required of the list of routers, given the settings it is followed with.
 inline table_terms router_list_terms(const follower_settings& asked) {
--- a/test/relay/canary_traffic_test.cpp
+++ b/test/relay/canary_traffic_test.cpp
@@ -174,7 +174,7 @@
     cr_assert_not(at.allows("n1", true, start + 4s));
     cr_assert_not(at.traffic.is_state_source(at.engine("n1"), start + 4s));
     cr_assert(at.allows("e1", false, start + 4s));
-    cr_assert_not(at.traffic.order_under_way(pool).has_value());
+    cr_assert_not(at.traffic.order_in_progress(pool).has_value());
 }
 
 Test(canary_traffic, own_counts_stop_the_trial_of_a_bad_version) {
--- a/test/relay/engine_registry_test.cpp
+++ b/test/relay/engine_registry_test.cpp
@@ -69,10 +69,10 @@
 
 namespace {
 
-listed_engine process_of(std::optional<std::uint64_t> born) {
+listed_engine process_of(std::optional<std::uint64_t> process_start_ms) {
     listed_engine one;
     one.name.value = "e";
-    one.born = born;
+    one.process_start_ms = process_start_ms;
     return one;
 }
 
@@ -87,7 +87,7 @@
     known_engine* before = registry.find(base::engine_name("e"));
     before->health.record_failure(true, start);
     before->refuses_until = start + 1h;
-    registry.saw_version(base::engine_name("e"), "m", 7);
+    registry.record_version(base::engine_name("e"), "m", 7);
     const std::uint64_t first = before->process;
 
     registry.put(process_of(1000), start + 1s);
@@ -150,7 +150,7 @@
         return all;
     };
     cr_assert(names("p") == "abc");
-    one.born = 7;
+    one.process_start_ms = 7;
     registry.put(one);  // A restart.
     one.pool.value = "q";
     registry.put(one);
@@ -199,7 +199,7 @@
     one.software.value = "v2";
     registry.put(one);
     cr_assert(versions() == "v12 v21 ");
-    one.born = 7;
+    one.process_start_ms = 7;
     registry.put(one);  // A restart.
     cr_assert(versions() == "v12 v21 ");
     registry.remove(base::engine_name("a"));
--- a/test/relay/engine_shortlist_test.cpp
+++ b/test/relay/engine_shortlist_test.cpp
@@ -67,7 +67,7 @@
     }
 
     engine_registry registry;
-    policy_source policies{policy_bounds{}};
+    policy_source policies{policy_staleness_limits{}};
     core::placement::warm_state warm;
     core::placement::engine_load_view loads;
     engine_selection selection{registry, policies, warm, loads, settings()};
@@ -118,7 +118,7 @@
     test_router one(3'000);
     test_router other(3'000);
     for (test_router* each : {&one, &other}) {
-        each->selection.ask_knowledge([] { return false; });
+        each->selection.set_holders_known_check([] { return false; });
         each->selection.expect_routers(985, 50);
     }
     const auto home = one.select("r1")->target.name;
@@ -132,7 +132,7 @@
 
 Test(engine_shortlist, fetches_state_from_a_busy_home) {
     test_router one(3'000);
-    one.selection.ask_knowledge([] { return false; });
+    one.selection.set_holders_known_check([] { return false; });
     const auto home = one.select("r1")->target;
     one.registry.find(home.name)->pending_prefill_tokens = 100'000;
     const auto chosen = one.select("r1");
--- a/test/relay/fake_upstream.hpp
+++ b/test/relay/fake_upstream.hpp
@@ -214,7 +214,8 @@
     ferryroad::test::loopback loop;
     fake_upstream upstream{loop.scheduler};
     engine_registry registry;
-    policy_source policies{policy_bounds{std::chrono::seconds(3), std::chrono::seconds(2)}};
+    policy_source policies{
+        policy_staleness_limits{std::chrono::seconds(3), std::chrono::seconds(2)}};
     core::placement::warm_state warm;
     core::placement::engine_load_view loads;
     engine_selection selection{registry, policies, warm, loads, selection_of()};
@@ -232,7 +233,7 @@
         registry.replace_all({listed("e1"), listed("e2")}, loop.scheduler.now());
         releases.engines_changed(loop.scheduler.now());
         releases.confirmed(loop.scheduler.now());
-        selection.follow_releases(releases);
+        selection.set_releases(releases);
     }
 
     static selection_settings selection_of() {
--- a/test/relay/naming_journal_test.cpp
+++ b/test/relay/naming_record_sync_test.cpp
@@ -1,5 +1,5 @@
 /// Naming times are passed from one router to another through the table, converted by its clock.
-#include "ferryroad/relay/naming_journal.hpp"
+#include "ferryroad/relay/naming_record_sync.hpp"
 
 #include "test/http/loopback.hpp"
 
@@ -47,8 +47,8 @@
 struct router {
     router(ferryroad::test::loopback& loop, platform::table& table, bool leads)
         : journal(loop.scheduler, table, policies, [leads] { return leads; }, {5ms, 2ms}) {}
-    policy_source policies{policy_bounds{}};
-    naming_journal journal;
+    policy_source policies{policy_staleness_limits{}};
+    naming_record_sync journal;
 };
 
 void run_for(ferryroad::test::loopback& loop, base::duration time) {
@@ -62,22 +62,22 @@
     owner_clock clock;
     const base::monotonic_time asked(100s);
     clock.observe(asked, asked + 10ms, 5000ms);
-    cr_assert_leq(clock.to_owner(asked), 5000);
-    cr_assert_geq(clock.to_owner(asked), 4990);
-    cr_assert(clock.to_local(5000) <= asked);
+    cr_assert_leq(clock.to_owner_earliest(asked), 5000);
+    cr_assert_geq(clock.to_owner_earliest(asked), 4990);
+    cr_assert(clock.to_local_earliest(5000) <= asked);
     clock.observe(asked + 1s, asked + 1s, 6000ms);
-    cr_assert_eq(clock.to_owner(asked), 5000);
-    cr_assert(clock.to_local(5000) == asked);
+    cr_assert_eq(clock.to_owner_earliest(asked), 5000);
+    cr_assert(clock.to_local_earliest(5000) == asked);
 }
 
-Test(naming_journal, a_later_router_reads_when_weights_were_named) {
+Test(naming_record_sync, a_later_router_reads_when_weights_were_named) {
     ferryroad::test::loopback loop;
     memory_table table;
     router first(loop, table, true);
     const base::monotonic_time now = loop.scheduler.now();
     first.journal.clock().observe(now, now, 70s);
     first.policies.confirm(now - 4s);
-    first.policies.name_version("m", 2);
+    first.policies.add_named_version("m", 2);
     first.policies.confirm(now - 1s);
     first.journal.start();
     run_for(loop, 30ms);
@@ -85,8 +85,8 @@
 
     router second(loop, table, false);
     const base::monotonic_time later = loop.scheduler.now();
-    second.policies.name_version("m", 2);
-    second.policies.name_version("m", 3);
+    second.policies.add_named_version("m", 2);
+    second.policies.add_named_version("m", 3);
     cr_assert(second.policies.versions_of("m").outdated_since(1) == base::monotonic_time{});
     second.journal.clock().observe(later, later, 70s + (later - now) / 1ms * 1ms);
     second.journal.start();
@@ -99,13 +99,13 @@
     cr_assert(of_second >= now - 1s - 10ms);
 }
 
-Test(naming_journal, retries_an_unavailable_table_and_writes_only_when_leading) {
+Test(naming_record_sync, retries_an_unavailable_table_and_writes_only_when_leading) {
     ferryroad::test::loopback loop;
     memory_table table;
     table.down = true;
     router one(loop, table, false);
     one.journal.clock().observe(loop.scheduler.now(), loop.scheduler.now(), 1s);
-    one.policies.name_version("m", 2);
+    one.policies.add_named_version("m", 2);
     one.policies.confirm(loop.scheduler.now());
     const base::monotonic_time started = loop.scheduler.now();
     one.journal.start();
--- a/test/relay/outdated_state_sources_test.cpp
+++ b/test/relay/outdated_state_sources_test.cpp
@@ -29,7 +29,7 @@
 /// Three engines of one pool with the old weights, and a cache store.
 struct selection_fixture {
     engine_registry registry;
-    policy_source policies{policy_bounds{}};
+    policy_source policies{policy_staleness_limits{}};
     core::placement::warm_state warm;
     core::placement::engine_load_view loads;
     engine_selection selection{registry, policies, warm, loads, settings()};
@@ -102,7 +102,7 @@
 
 Test(outdated_state_sources, no_state_is_fetched_from_an_engine_with_newer_weights) {
     selection_fixture fixture;
-    fixture.registry.saw_version(source_engine, "m", 2);
+    fixture.registry.record_version(source_engine, "m", 2);
     fixture.report_held(source_engine, 2);
     const auto chosen = fixture.select({source_engine});
     cr_assert_eq(chosen.fetchable_tokens, 0);
@@ -123,7 +123,7 @@
 
 Test(outdated_state_sources, another_engine_that_holds_less_is_used_instead) {
     selection_fixture fixture;
-    fixture.registry.saw_version(source_engine, "m", 2);
+    fixture.registry.record_version(source_engine, "m", 2);
     fixture.report_held(source_engine, 2);
     fixture.report_held(other_source_engine, 1);
     const auto chosen = fixture.select({source_engine, other_source_engine});
@@ -133,9 +133,9 @@
 
 Test(outdated_state_sources, state_is_fetched_from_a_store_whatever_weights_engines_have) {
     selection_fixture fixture;
-    fixture.registry.saw_version(source_engine, "m", 2);
+    fixture.registry.record_version(source_engine, "m", 2);
     fixture.report_held(source_engine, 2);
-    fixture.report_held(holder_of(fixture.policies.current()->declared().stores.front()), 2);
+    fixture.report_held(holder_name_of(fixture.policies.current()->declared().stores.front()), 2);
     const auto chosen = fixture.select({source_engine});
     cr_assert_eq(chosen.fetchable_tokens, 9000);
     cr_assert_str_eq(source_of(chosen).c_str(), "10.0.0.9:9");
--- a/test/relay/peer_exchange_test.cpp
+++ b/test/relay/peer_exchange_test.cpp
@@ -97,7 +97,7 @@
 
 Test(peer_exchange, newer_weights_are_passed_on_once) {
     fixture at;
-    at.first.registry.saw_version(engine, "m", 2);
+    at.first.registry.record_version(engine, "m", 2);
     cr_assert(at.until([&] { return at.second.registry.find(engine)->version_of("m") == 2; }));
     cr_assert_eq(at.first.exchange.notices_malformed(), 0);
 }
--- a/test/relay/policy_source_test.cpp
+++ b/test/relay/policy_source_test.cpp
@@ -22,7 +22,7 @@
 }  // namespace
 
 Test(policy_source, older_declarations_are_ignored) {
-    policy_source source(policy_bounds{});
+    policy_source source(policy_staleness_limits{});
     cr_assert(source.offer(version(5)));
     cr_assert_not(source.offer(version(5)));
     cr_assert_not(source.offer(version(4)));
@@ -32,27 +32,27 @@
 }
 
 Test(policy_source, keys_are_valid_only_while_confirmed) {
-    policy_source source(policy_bounds_for(true, 5s));
-    cr_assert_not(source.keys_hold(start));
+    policy_source source(policy_staleness_limits_for(true, 5s));
+    cr_assert_not(source.keys_valid(start));
     source.confirm(start);
-    cr_assert(source.keys_hold(start + 2800ms));
-    cr_assert_not(source.keys_hold(start + 3s));
+    cr_assert(source.keys_valid(start + 2800ms));
+    cr_assert_not(source.keys_valid(start + 3s));
     source.confirm(start - 1s);  // An older confirmation has no effect.
-    cr_assert(source.keys_hold(start + 2800ms));
+    cr_assert(source.keys_valid(start + 2800ms));
 }
 
 Test(policy_source, keys_stay_valid_if_no_confirmation_is_required) {
-    policy_source source(policy_bounds_for(false, 5s));
-    cr_assert(source.keys_hold(start));
+    policy_source source(policy_staleness_limits_for(false, 5s));
+    cr_assert(source.keys_valid(start));
 }
 
 Test(policy_source, weights_are_outdated_from_the_next_newer_version) {
-    policy_source source(policy_bounds{});
+    policy_source source(policy_staleness_limits{});
     source.confirm(start);
-    cr_assert(source.name_version(model, 2));
+    cr_assert(source.add_named_version(model, 2));
     source.confirm(start + 3s);
-    cr_assert(source.name_version(model, 3));
-    cr_assert_not(source.name_version(model, 2));
+    cr_assert(source.add_named_version(model, 3));
+    cr_assert_not(source.add_named_version(model, 2));
     const version_history& history = source.versions_of(model);
     cr_assert(history.outdated_since(1) == start);
     cr_assert(history.outdated_since(2) == start + 3s);
@@ -61,10 +61,10 @@
 }
 
 Test(policy_source, long_history_keeps_the_earliest_time) {
-    policy_source source(policy_bounds{});
+    policy_source source(policy_staleness_limits{});
     for (std::uint64_t number = 2; number < 100; ++number) {
         source.confirm(start + std::chrono::seconds(number));
-        source.name_version(model, number);
+        source.add_named_version(model, number);
     }
     cr_assert(source.versions_of(model).outdated_since(1) == start + 2s);
     cr_assert_leq(source.versions_of(model).named().size(), 32);
@@ -72,10 +72,10 @@
 }
 
 Test(policy_source, recorded_namings_set_times_in_a_new_process) {
-    policy_source source(policy_bounds{});
-    source.name_version(model, 2);
-    source.name_version(model, 4);
-    source.name_version("unrecorded", 2);
+    policy_source source(policy_staleness_limits{});
+    source.add_named_version(model, 2);
+    source.add_named_version(model, 4);
+    source.add_named_version("unrecorded", 2);
     source.add_recorded_naming(model, 2, start);
     source.raise_unrecorded_namings({{model, 2}}, start + 5s);
     cr_assert(source.versions_of(model).outdated_since(1) == start);
@@ -86,8 +86,8 @@
 }
 
 Test(policy_source, weights_count_as_outdated_from_the_start_until_the_record_is_read) {
-    policy_source policies{policy_bounds{}};
-    policies.name_version("m", 2);
+    policy_source policies{policy_staleness_limits{}};
+    policies.add_named_version("m", 2);
     policies.await_record(start);
     cr_assert(policies.outdated_since("m", 1) == start);
     cr_assert_not(policies.outdated_since("m", 2).has_value());
@@ -97,8 +97,8 @@
 }
 
 Test(policy_source, inserts_versions_known_only_from_the_record) {
-    policy_source source(policy_bounds{});
-    source.name_version(model, 4);  // A new process receives only the newest version.
+    policy_source source(policy_staleness_limits{});
+    source.add_named_version(model, 4);  // A new process receives only the newest version.
     source.add_recorded_naming(model, 2, start);
     source.add_recorded_naming(model, 3, start + 4s);
     source.add_recorded_naming(model, 4, start + 9s);
--- a/test/relay/queueing_upstream.hpp
+++ b/test/relay/queueing_upstream.hpp
@@ -254,7 +254,7 @@
     bench::simulation::virtual_scheduler scheduler;
     queueing_upstream upstream{scheduler};
     engine_registry registry;
-    policy_source policies{policy_bounds{}};
+    policy_source policies{policy_staleness_limits{}};
     core::placement::warm_state warm;
     core::placement::engine_load_view loads;
     engine_selection selection{registry, policies, warm, loads, selection_of()};
@@ -310,7 +310,7 @@
     void name_weights(std::uint64_t version) {
         named_at = scheduler.now();
         policies.confirm(named_at);
-        policies.name_version("m", version);
+        policies.add_named_version("m", version);
     }
     void run_for(base::duration span) { time.run_until(time.now() + span); }
     /// @return a request that arrives now. @param path of the route.
--- a/test/relay/relay_service_test.cpp
+++ b/test/relay/relay_service_test.cpp
@@ -288,7 +288,7 @@
     for (const unresolved_row& row : unresolved_rows) {
         relay_fixture fixture;
         policy_source& policies = fixture.policies;
-        policies = policy_source(policy_bounds{3s, 2s});
+        policies = policy_source(policy_staleness_limits{3s, 2s});
         policies.offer(relay_fixture::declared());
         policies.confirm(fixture.loop.scheduler.now() - row.age);
         relay_call call = fixture.call(row.path);
@@ -301,7 +301,7 @@
 
 Test(relay_service, without_a_policy_it_answers_503) {
     relay_fixture fixture;
-    fixture.policies = policy_source(policy_bounds{3s, 2s});
+    fixture.policies = policy_source(policy_staleness_limits{3s, 2s});
     fixture.serve(fixture.call("/safe/"));
     cr_assert_eq(fixture.writer.status, 503);
     cr_assert(!header(fixture.writer, "Retry-After").empty());
--- a/test/relay/request_quarantine_test.cpp
+++ b/test/relay/request_quarantine_test.cpp
@@ -101,7 +101,7 @@
         registry.replace_all({}, loop.scheduler.now());
         listed_engine first = listed("e1");
         listed_engine second = listed("e2");
-        first.born = second.born = ++starts;
+        first.process_start_ms = second.process_start_ms = ++starts;
         registry.replace_all({first, second}, loop.scheduler.now());
     }
     std::uint64_t starts = 0;
--- a/test/relay/rollout_order_arrival_test.cpp
+++ b/test/relay/rollout_order_arrival_test.cpp
@@ -58,7 +58,7 @@
         one.versions["m"] = 1;
         registry.put(one);
         upstream.reports["e1"] = {1, 4, false};
-        policies.name_version("m", 2);
+        policies.add_named_version("m", 2);
         service.start();
     }
     static rollout_settings settings() {
@@ -78,7 +78,7 @@
 
     delayed_upstream upstream;
     engine_registry registry;
-    policy_source policies{policy_bounds{}};
+    policy_source policies{policy_staleness_limits{}};
     lease_router contender;
     rollout_service<delayed_upstream, rollout_lease> service;
 };
--- a/test/relay/rollout_service_test.cpp
+++ b/test/relay/rollout_service_test.cpp
@@ -27,7 +27,7 @@
     ferryroad::test::loopback loop;
     fake_upstream upstream{loop.scheduler};
     engine_registry registry;
-    policy_source policies{policy_bounds{}};
+    policy_source policies{policy_staleness_limits{}};
     fake_lease lease;
     rollout_service<fake_upstream, fake_lease> service{
         {loop.scheduler, upstream, registry, policies, lease,
@@ -47,7 +47,7 @@
             registry.put(one);
             upstream.reports[name] = {1, 4, false};
         }
-        policies.name_version("m", 2);
+        policies.add_named_version("m", 2);
     }
     static rollout_settings settings() {
         rollout_settings all;
@@ -100,7 +100,7 @@
     at.lease.current = base::fencing_token(1);
     at.service.start();
     at.run_until([&] { return at.upstream.orders.size() == 3 && !at.lease.acting; });
-    at.policies.name_version("m", 3);
+    at.policies.add_named_version("m", 3);
     at.run_until([&] { return at.upstream.orders.size() == 6 && !at.lease.acting; });
     at.run_for(20ms);
     cr_assert_eq(at.upstream.orders.size(), 6);
--- a/test/relay/selection_regions_test.cpp
+++ b/test/relay/selection_regions_test.cpp
@@ -21,7 +21,7 @@
 /// Zones a1 and a2 are in region a, b1 in b, c1 in c; this router is in a1.
 struct fixture {
     engine_registry registry;
-    policy_source policies{policy_bounds{}};
+    policy_source policies{policy_staleness_limits{}};
     core::placement::warm_state warm;
     core::placement::engine_load_view loads;
     engine_selection selection;
@@ -205,7 +205,7 @@
     cr_assert(chosen->target.name.value.starts_with("a1"));
     cr_assert(chosen->fetch_state_from ==
               at.registry.find(base::engine_name("a2-0"))->listed.address);
-    cr_assert(chosen->moved_over == distance::other_zone);
+    cr_assert(chosen->moved_distance == distance::other_zone);
     cr_assert_float_eq(chosen->moved_bytes, 9000 * 100, 1);
 }
 
@@ -269,9 +269,9 @@
         at.add(zone, zone);
     }
     for (int number = 0; number < 20; ++number) {
-        at.selection.record_way(base::zone_name("a1"), 1ms, start);
-        at.selection.record_way(base::zone_name("b1"), 151ms, start);
-        at.selection.record_way(base::zone_name("c1"), 21ms, start);
+        at.selection.record_path_latency(base::zone_name("a1"), 1ms, start);
+        at.selection.record_path_latency(base::zone_name("b1"), 151ms, start);
+        at.selection.record_path_latency(base::zone_name("c1"), 21ms, start);
     }
     const auto chosen = at.select();
     cr_assert(chosen->target.name.value == "c1");
--- a/test/relay/selection_test.cpp
+++ b/test/relay/selection_test.cpp
@@ -16,7 +16,7 @@
 
 struct fixture {
     engine_registry registry;
-    policy_source policies{policy_bounds{}};
+    policy_source policies{policy_staleness_limits{}};
     core::placement::warm_state warm;
     core::placement::engine_load_view loads;
     engine_selection selection{registry, policies, warm, loads, settings()};
@@ -92,7 +92,7 @@
     fixture at;
     at.call.prompt->parts = {{"a", 100}, {"own", 500}};
     at.call.prompt->input_tokens = 600;
-    at.policies.name_version("m", 2);
+    at.policies.add_named_version("m", 2);
     at.add("e3", "z2", 2);
     cr_assert(at.select(nullptr, {}, start + 100ms)->target.name == base::engine_name("e3"));
     // By the initial estimate, computing 600 tokens takes 67 ms and generating 20 tokens 400 ms.
@@ -108,7 +108,7 @@
 
 Test(selection, pending_work_counts_against_the_deadline_of_outdated_engines) {
     fixture at;
-    at.policies.name_version("m", 2);
+    at.policies.add_named_version("m", 2);
     for (const char* name : {"e1", "e2"}) {
         at.registry.find(base::engine_name(name))->pending_prefill_tokens = 105000;
     }
@@ -120,11 +120,11 @@
 
 Test(selection, begin_times_count_against_the_deadline_of_outdated_engines) {
     fixture at;
-    at.policies.name_version("m", 2);
+    at.policies.add_named_version("m", 2);
     cr_assert(at.select(nullptr, {}, start + 5s).has_value());
     const auto chosen = at.select(nullptr, {}, start);
     for (int request = 0; request < 20; ++request) {
-        at.selection.record_beginning(base::pool_name("p"), chosen->work, 3s);
+        at.selection.record_begin_delay(base::pool_name("p"), chosen->work, 3s);
     }
     cr_assert(at.select(nullptr, {}, start + 2s).has_value());
     cr_assert_not(at.select(nullptr, {}, start + 5s).has_value());
@@ -136,7 +136,7 @@
     cr_assert(at.select()->stop_by == start + 7s, "newer weights may be named at any time");
     cr_assert_not(at.select(nullptr, {}, start + 3s)->stop_by.has_value(),
                   "the policy's owner is unreachable");
-    at.policies.name_version("m", 2);
+    at.policies.add_named_version("m", 2);
     cr_assert(at.select()->begin_by == start + 7s);
     at.add("e1", "z1", 2);
     cr_assert_not(at.select(nullptr, {}, start + 2s)->begin_by.has_value());
@@ -147,18 +147,19 @@
     const selection_query query{at.call, *at.policies.current(), base::pool_name("p"), nullptr, {}};
     const selected_engine chosen = *at.select();
     const char* name = chosen.target.name.value.c_str();
-    cr_assert(at.selection.still_serves(chosen, query, start));
-    at.policies.name_version("m", 2);
-    cr_assert(at.selection.still_serves(chosen, query, start + 6900ms));
-    cr_assert_not(at.selection.still_serves(chosen, query, start + 7s));
+    cr_assert(at.selection.is_still_valid(chosen, query, start));
+    at.policies.add_named_version("m", 2);
+    cr_assert(at.selection.is_still_valid(chosen, query, start + 6900ms));
+    cr_assert_not(at.selection.is_still_valid(chosen, query, start + 7s));
     at.add(name, "z1", 2);
-    cr_assert_not(at.selection.still_serves(chosen, query, start), "the engine's weights changed");
+    cr_assert_not(at.selection.is_still_valid(chosen, query, start),
+                  "the engine's weights changed");
     const selected_engine again = *at.select(nullptr, {}, start + 7s);
-    cr_assert(at.selection.still_serves(again, query, start + 8s));
+    cr_assert(at.selection.is_still_valid(again, query, start + 8s));
     at.registry.find(again.target.name)->listed.leaving = true;
-    cr_assert_not(at.selection.still_serves(again, query, start + 8s));
+    cr_assert_not(at.selection.is_still_valid(again, query, start + 8s));
     at.registry.remove(again.target.name);
-    cr_assert_not(at.selection.still_serves(again, query, start + 8s));
+    cr_assert_not(at.selection.is_still_valid(again, query, start + 8s));
 }
 
 Test(selection, requests_with_a_common_prefix_share_an_engine) {
@@ -224,7 +225,8 @@
 
 Test(selection, does_not_save_state_that_the_store_holds) {
     fixture at;
-    const base::engine_name store = holder_of(at.policies.current()->declared().stores.front());
+    const base::engine_name store =
+        holder_name_of(at.policies.current()->declared().stores.front());
     at.warm.follow(store, true);
     cr_assert(at.select()->save_state_to.has_value());
     for (const auto& part : core::prefix::scoped_parts_of(*at.call.prompt, "shared/1")) {
@@ -255,12 +257,12 @@
     }
     cr_assert_eq(saved_to.size(), 3);
     for (const auto& store : stores) {
-        at.warm.follow(holder_of(store), true);
+        at.warm.follow(holder_name_of(store), true);
         for (const auto& part : core::prefix::scoped_parts_of(*at.call.prompt, "shared/1")) {
-            at.warm.told(part.key, holder_of(store), part.tokens, start);
+            at.warm.told(part.key, holder_name_of(store), part.tokens, start);
         }
         cr_assert(at.select()->fetch_state_from == store.address);
-        at.warm.forget(holder_of(store));
+        at.warm.forget(holder_name_of(store));
     }
 }
 
@@ -305,7 +307,7 @@
     const std::string home = at.select()->target.name.value;
     at.registry.find(base::engine_name(home))->refuses_until = start + 1s;
     cr_assert(at.select()->target.name.value != home);
-    at.registry.saw_version(base::engine_name(home), "m", 2);
+    at.registry.record_version(base::engine_name(home), "m", 2);
     cr_assert(at.registry.find(base::engine_name(home))->refuses_until < start);
 }
 
@@ -316,7 +318,7 @@
     cr_assert(at.select()->target.name != home);
     cr_assert(at.select(nullptr, {}, start + 1s)->target.name == home,
               "the expectation expired without newer weights");
-    at.registry.saw_version(home, "m", 2);
+    at.registry.record_version(home, "m", 2);
     at.registry.expect_weights(home, "m", 2, start + 1s);
     cr_assert(at.registry.find(home)->loading_until < start,
               "a late notice of weights that are already loaded");
@@ -387,7 +389,7 @@
     }
     at.call.prompt->parts = {{"own", 500}};
     at.call.prompt->input_tokens = 500;
-    at.selection.ask_connections(
+    at.selection.set_connection_check(
         [](const base::endpoint& address) { return address.to_string().ends_with("7:1"); });
     for (int request = 0; request < 200; ++request) {
         at.call.id.value = std::to_string(request);
@@ -423,7 +425,7 @@
     namespace release = coordination::release;
     fixture at;
     canary_traffic releases(at.registry, {});
-    at.selection.follow_releases(releases);
+    at.selection.set_releases(releases);
     const release::release_order order{release::order_number(7), base::pool_name("p"),
                                        release::software_version("v2"), 12s};
     releases.order(order);
--- a/test/relay/shared_feed_test.cpp
+++ b/test/relay/shared_feed_test.cpp
@@ -135,7 +135,7 @@
     settings.table = table_name;
     settings.pace = 5ms;
     settings.first_backoff = 1ms;
-    settings.longest_backoff = 4ms;
+    settings.max_backoff = 4ms;
     settings.same_meaning = [](const record& before, const record& after) {
         return before.value.substr(0, 1) == after.value.substr(0, 1);
     };
--- a/test/relay/simulated_release.hpp
+++ b/test/relay/simulated_release.hpp
@@ -355,7 +355,7 @@
                 continue;
             }
             const known_engine& to = *allowed[requests.size() % allowed.size()];
-            const auto order = traffic.order_under_way(the_pool);
+            const auto order = traffic.order_in_progress(the_pool);
             requests.push_back({time.now(), index, to.listed.software.value, canary});
             const made_answer made = engine(to.listed.software.value, requests.size());
             if (order) {
--- a/test/relay/state_follower_test.cpp
+++ b/test/relay/state_follower_test.cpp
@@ -390,7 +390,7 @@
     at.run_for(30ms);
     cr_assert_eq(at.source.polls, 0, "no holder is in use");
     at.source.last = 3;
-    at.follower.used(large_block::name(7));
+    at.follower.mark_used(large_block::name(7));
     at.run_for(20ms);
     const base::monotonic_time now = at.loop.scheduler.now();
     cr_assert_eq(at.warm.tokens_held(part(3), large_block::name(7), now), 10);
@@ -405,7 +405,7 @@
     for (const std::size_t scale : {1, 5, 10}) {
         large_block at(200 * scale, 2 * scale);
         for (std::size_t number = 0; number < 5; ++number) {
-            at.follower.used(large_block::name(number));
+            at.follower.mark_used(large_block::name(number));
         }
         at.run_for(100ms);
         asked.push_back(at.source.polls);
--- a/test/relay/table_follower_test.cpp
+++ b/test/relay/table_follower_test.cpp
@@ -57,7 +57,7 @@
         follower_settings all;
         all.table = "t";
         all.first_backoff = 1ms;
-        all.longest_backoff = 4ms;
+        all.max_backoff = 4ms;
         return all;
     }
     follower_events events() {
--- a/test/relay/table_freshness_test.cpp
+++ b/test/relay/table_freshness_test.cpp
@@ -111,9 +111,9 @@
           others(scheduler),
           owner{scheduler},
           feed(scheduler, owner, others, self),
-          followed_declarations(scheduler, feed, follow_declarations(declarations),
+          followed_declarations(scheduler, feed, declaration_follower_settings(declarations),
                                 {[](const auto&) {}, [](const auto&) {}, [](const auto&) {}}),
-          followed_engines(scheduler, feed, follow_engines(engines, {}),
+          followed_engines(scheduler, feed, engine_list_follower_settings(engines, {}),
                            {[](const auto&) {}, [](const auto&) {},
                             [this](const confirmation& told) {
                                 engines_as_of = std::max(engines_as_of, told.as_of);
--- a/test/relay/distance_meter_test.cpp
+++ b/test/relay/traffic_meter_test.cpp
@@ -1,5 +1,5 @@
 /// Messages and bytes are counted by kind of traffic and distance.
-#include "ferryroad/relay/distance_meter.hpp"
+#include "ferryroad/relay/traffic_meter.hpp"
 
 #include "test/relay/fake_network.hpp"
 
@@ -14,9 +14,9 @@
 const base::endpoint near_router{"10.0.0.1", 7};
 const base::endpoint far_router{"10.0.0.2", 7};
 
-distance_meter meter() {
-    distance_meter made(base::zone_name("a"),
-                        core::topology::parse_zones({"a=one", "b=one", "c=two"}).zones);
+traffic_meter meter() {
+    traffic_meter made(base::zone_name("a"),
+                       core::topology::parse_zones({"a=one", "b=one", "c=two"}).zones);
     made.set_routers({{base::router_name("near"), base::zone_name("b"), near_router},
                       {base::router_name("far"), base::zone_name("c"), far_router}});
     return made;
@@ -24,8 +24,8 @@
 
 }  // namespace
 
-Test(distance_meter, counts_by_kind_and_distance) {
-    distance_meter counted = meter();
+Test(traffic_meter, counts_by_kind_and_distance) {
+    traffic_meter counted = meter();
     counted.add(traffic_kind::request, base::zone_name("c"), 100);
     counted.add(traffic_kind::request, base::zone_name("c"), 50);
     counted.add(traffic_kind::request, base::zone_name("a"), 7);
@@ -37,8 +37,8 @@
     cr_assert(counted.totals() == expected);
 }
 
-Test(distance_meter, counts_messages_to_routers_by_their_zones) {
-    distance_meter counted = meter();
+Test(traffic_meter, counts_messages_to_routers_by_their_zones) {
+    traffic_meter counted = meter();
     ferryroad::relay::test::fake_network network;
     ferryroad::relay::test::fake_transport inner(network, {"10.0.0.9", 7});
     metered_transport notices(inner, counted, traffic_kind::notice);
--- a/test/relay/withdrawal_races_test.cpp
+++ b/test/relay/withdrawal_races_test.cpp
@@ -176,7 +176,7 @@
                 ++m_unknown_announcements;
             });
             at(one.at + one.learnt_after, [this, one] {
-                m_router.policies.name_version("m", one.version);
+                m_router.policies.add_named_version("m", one.version);
                 --m_unknown_announcements;
             });
         }
@@ -208,7 +208,7 @@
         queueing_engine& engine = m_router.upstream.engines[name];
         engine.version = std::max(engine.version, version);
         if (told) {
-            m_router.registry.saw_version(base::engine_name(name), "m", engine.version);
+            m_router.registry.record_version(base::engine_name(name), "m", engine.version);
         }
     }
 
