--- a/src/ferryroad/core/admission/fair_queue.hpp
+++ b/src/ferryroad/core/admission/fair_queue.hpp
@@ -52,7 +52,7 @@
 /// waited longer than `aging_bound`, one start in `aged_start_every` goes to the request that has
 /// waited longest over all levels. The class does no I/O and reads no clock. The caller passes the
 /// time, runs the requests returned, calls `finish` once for each of them, and calls `start_next`
-/// until it returns nothing after each `arrive`, `finish` and `change_places`. Every request ends
+/// until it returns nothing after each `arrive`, `finish` and `set_max_running`. Every request ends
 /// in exactly one of: started, refused, expired, cancelled. Not thread-safe.
 class fair_queue {
   public:
@@ -61,7 +61,7 @@
                         admission_tunables tunables = default_admission_tunables);
 
     /// Changes the concurrency limit. Requests that are running already are not affected.
-    void change_places(std::size_t max_running) { max_running_ = max_running; }
+    void set_max_running(std::size_t max_running) { max_running_ = max_running; }
 
     /// Starts, queues or refuses a new request.
     queue_answer arrive(const waiting_request& request, base::monotonic_time now);
--- a/src/ferryroad/core/canary/canary_engines.cpp
+++ b/src/ferryroad/core/canary/canary_engines.cpp
@@ -23,9 +23,9 @@
 
 }  // namespace
 
-std::vector<base::engine_name> canary_engines(std::uint64_t order,
-                                              const std::vector<base::engine_name>& candidates,
-                                              std::size_t current_engines, double share) {
+std::vector<base::engine_name> select_canary_engines(
+    std::uint64_t order, const std::vector<base::engine_name>& candidates,
+    std::size_t current_engines, double share) {
     std::vector<std::pair<std::uint64_t, base::engine_name>> scored;
     scored.reserve(candidates.size());
     for (const base::engine_name& name : candidates) {
--- a/src/ferryroad/core/canary/canary_engines.hpp
+++ b/src/ferryroad/core/canary/canary_engines.hpp
@@ -17,8 +17,8 @@
 /// @param current_engines number of engines that serve the other requests.
 /// @param share share of the requests that the canary serves, below 1.
 /// @return the engines to use; at least one unless there are no candidates.
-std::vector<base::engine_name> canary_engines(std::uint64_t order,
-                                              const std::vector<base::engine_name>& candidates,
-                                              std::size_t current_engines, double share);
+std::vector<base::engine_name> select_canary_engines(
+    std::uint64_t order, const std::vector<base::engine_name>& candidates,
+    std::size_t current_engines, double share);
 
 }  // namespace ferryroad::core::canary
--- a/src/ferryroad/core/execution/request_execution.cpp
+++ b/src/ferryroad/core/execution/request_execution.cpp
@@ -16,7 +16,7 @@
 /// from stale routing information don't indicate a failing pool.
 bool charges_budget(failure_kind kind, const tunables& limits) {
     if (kind == failure_kind::stale_target) {
-        return !limits.stale_target_is_free;
+        return !limits.stale_target_retry_is_free;
     }
     return kind != failure_kind::unreachable && kind != failure_kind::withheld;
 }
@@ -231,7 +231,7 @@
     if (!rules_.streamed || !attempt.started || is_proven_not_run(attempt)) {
         return false;
     }
-    if (attempt.resumes >= limits_.resumes_per_attempt) {
+    if (attempt.resumes >= limits_.max_resumes_per_attempt) {
         return false;
     }
     if (kind == failure_kind::broken) {
@@ -255,7 +255,7 @@
     if (attempts_.size() >= limits_.attempts) {
         return false;
     }
-    if (overloaded_refusals_ >= limits_.overloaded_refusals) {
+    if (overloaded_refusals_ >= limits_.max_overloaded_refusals) {
         return false;
     }
     const auto executions =
--- a/src/ferryroad/core/placement/engine_load_view.hpp
+++ b/src/ferryroad/core/placement/engine_load_view.hpp
@@ -13,22 +13,22 @@
 namespace ferryroad::core::placement {
 
 /// One router's requests at one engine.
-struct stated_load {
+struct router_load {
     base::engine_name engine;
     std::uint32_t running = 0;
     std::uint64_t prefill_tokens = 0;  ///< Prompt tokens of requests without a first event yet.
     base::duration refuses_for{};      ///< Remaining time for which the engine refuses requests.
 
-    friend bool operator==(const stated_load&, const stated_load&) = default;
+    friend bool operator==(const router_load&, const router_load&) = default;
 };
 
 /// Requests of all other routers at one engine.
-struct shared_load {
+struct peer_load {
     std::uint32_t running = 0;
     std::uint64_t prefill_tokens = 0;
     bool refuses = false;
 
-    friend bool operator==(const shared_load&, const shared_load&) = default;
+    friend bool operator==(const peer_load&, const peer_load&) = default;
 };
 
 /// Not thread-safe.
@@ -40,16 +40,16 @@
 
     /// Replaces the report of a router.
     /// @param loads all engines that the sender has requests at.
-    void state(const base::router_name& sender, std::vector<stated_load> loads,
+    void state(const base::router_name& sender, std::vector<router_load> loads,
                base::monotonic_time now);
     /// Drops the report of a router that has left.
     void forget(const base::router_name& sender) { m_reports.erase(sender); }
     /// @return the sum over all routers, by engine. Each call computes it anew.
-    std::map<base::engine_name, shared_load> totals(base::monotonic_time now) const;
+    std::map<base::engine_name, peer_load> totals(base::monotonic_time now) const;
 
   private:
     struct report {
-        std::vector<stated_load> loads;
+        std::vector<router_load> loads;
         base::monotonic_time received_at{};
     };
 
--- a/src/ferryroad/core/placement/placement.cpp
+++ b/src/ferryroad/core/placement/placement.cpp
@@ -11,32 +11,34 @@
 double unknown_factor(const placement_query& query, const engine_candidate& engine,
                       const placement_tunables& tunables) {
     if (engine.home) {
-        const double cached_share = query.knows_holders ? tunables.home_cached_share
-                                                        : tunables.unconfirmed_home_cached_share;
+        const double cached_share = query.all_holders_known
+                                        ? tunables.home_cached_share
+                                        : tunables.unconfirmed_home_cached_share;
         return (1 - cached_share) * tunables.recompute_factor;
     }
-    return query.knows_holders ? tunables.recompute_factor : tunables.reread_factor;
+    return query.all_holders_known ? tunables.recompute_factor
+                                   : tunables.avoidable_recompute_factor;
 }
 
 /// @return the plan that fetches the cached shared tokens and computes the others.
-shared_plan make_plan(const placement_query& query, const engine_candidate& engine,
-                      const placement_tunables& tunables, bool from_far) {
+shared_state_plan make_plan(const placement_query& query, const engine_candidate& engine,
+                            const placement_tunables& tunables, bool from_far) {
     const std::uint64_t warm = std::min(engine.warm_tokens, query.shared_tokens);
     const std::uint64_t fetchable =
         from_far ? engine.far_fetchable_tokens : engine.fetchable_tokens;
     const std::uint64_t cached = std::min(std::max(fetchable, warm), query.shared_tokens);
-    shared_plan plan;
-    plan.moved_tokens = cached - warm;
+    shared_state_plan plan;
+    plan.fetched_tokens = cached - warm;
     plan.from_far = from_far;
     const std::uint64_t known =
         std::max(cached, std::min(engine.far_fetchable_tokens, query.shared_tokens));
     const auto recomputed = static_cast<double>(known - cached);
     const auto unknown = static_cast<double>(query.shared_tokens - known);
-    const double computed =
-        unknown * unknown_factor(query, engine, tunables) + recomputed * tunables.reread_factor;
+    const double computed = unknown * unknown_factor(query, engine, tunables) +
+                            recomputed * tunables.avoidable_recompute_factor;
     const double each = tunables.fetch_token_ms * (from_far ? tunables.far_fetch_factor : 1.0);
-    const double fetch = plan.moved_tokens > 0
-                             ? tunables.fetch_ms + static_cast<double>(plan.moved_tokens) * each
+    const double fetch = plan.fetched_tokens > 0
+                             ? tunables.fetch_ms + static_cast<double>(plan.fetched_tokens) * each
                              : 0.0;
     plan.cost_ms = fetch + computed / tunables.prefill_tokens_per_ms;
     return plan;
@@ -46,7 +48,8 @@
                     const placement_tunables& tunables) {
     const double own =
         static_cast<double>(query.input_tokens - std::min(query.shared_tokens, query.input_tokens));
-    return own / tunables.prefill_tokens_per_ms + plan_shared(query, engine, tunables).cost_ms;
+    return own / tunables.prefill_tokens_per_ms +
+           plan_shared_state(query, engine, tunables).cost_ms;
 }
 
 /// @return the expected cost of delays of the engine's running streams during the prefill of this
@@ -57,7 +60,7 @@
     if (gap_ms <= 0) {
         return 0;
     }
-    const std::uint64_t moved = plan_shared(query, engine, tunables).moved_tokens;
+    const std::uint64_t moved = plan_shared_state(query, engine, tunables).fetched_tokens;
     const std::uint64_t held = std::max(engine.warm_tokens + moved, engine.fetchable_tokens);
     const std::uint64_t computed = query.input_tokens - std::min(held, query.input_tokens);
     const double prefill_ms = static_cast<double>(engine.pending_prefill_tokens + computed) /
@@ -74,7 +77,7 @@
     if (engine.away == topology::distance::same_zone) {
         return 0;
     }
-    const double unknown_load = query.unseen_load > 1 ? tunables.unknown_zone_load_ms : 0.0;
+    const double unknown_load = query.load_multiplier > 1 ? tunables.unknown_zone_load_ms : 0.0;
     const bool far = engine.away == topology::distance::other_region;
     const double region_cost =
         far ? engine.path_ms + query.transfer_kb * tunables.region_kb_ms : 0.0;
@@ -84,9 +87,9 @@
 double cost_of(const placement_query& query, const engine_candidate& engine,
                const placement_tunables& tunables) {
     const double pending = static_cast<double>(engine.pending_prefill_tokens);
-    const double queue = pending * query.unseen_load / tunables.prefill_tokens_per_ms;
+    const double queue = pending * query.load_multiplier / tunables.prefill_tokens_per_ms;
     const double share = static_cast<double>(engine.running) / std::max(1U, engine.slots);
-    const double occupancy = share * query.unseen_load * tunables.full_engine_ms;
+    const double occupancy = share * query.load_multiplier * tunables.full_engine_ms;
     double cost = prefill_cost(query, engine, tunables) + queue + occupancy;
     cost += interference_cost(query, engine, tunables);
     cost += distance_cost(query, engine, tunables);
@@ -98,13 +101,13 @@
 
 }  // namespace
 
-shared_plan plan_shared(const placement_query& query, const engine_candidate& engine,
-                        const placement_tunables& tunables) {
-    const shared_plan near = make_plan(query, engine, tunables, false);
+shared_state_plan plan_shared_state(const placement_query& query, const engine_candidate& engine,
+                                    const placement_tunables& tunables) {
+    const shared_state_plan near = make_plan(query, engine, tunables, false);
     if (engine.far_fetchable_tokens <= engine.fetchable_tokens) {
         return near;
     }
-    const shared_plan far = make_plan(query, engine, tunables, true);
+    const shared_state_plan far = make_plan(query, engine, tunables, true);
     return far.cost_ms < near.cost_ms ? far : near;
 }
 
--- a/src/ferryroad/core/placement/placement.hpp
+++ b/src/ferryroad/core/placement/placement.hpp
@@ -45,10 +45,10 @@
     double gap_pressure = 1;      ///< Frequency of long gaps in the pool's streams, from 0 to 1.
     /// Estimated load of an engine as a multiple of the known load, since routers that don't report
     /// use it, too.
-    double unseen_load = 1;
+    double load_multiplier = 1;
     /// Whether all caches that hold the prompt's state are known. Otherwise tokens that no cache is
     /// known to hold are assumed to be cached at the prompt's home.
-    bool knows_holders = true;
+    bool all_holders_known = true;
     double transfer_kb = 0;  ///< Size of the request and its answer, in kilobytes.
 };
 
@@ -68,7 +68,7 @@
     double recompute_factor = 2.0;
     /// The same for tokens that are cached, but too far away to be fetched. It is higher because
     /// computing them again is avoidable.
-    double reread_factor = 4.0;
+    double avoidable_recompute_factor = 4.0;
     /// Time to fetch one shared token from another cache, in milliseconds.
     double fetch_token_ms = 0.02;
     /// Factor on `fetch_token_ms` for another region: links between regions transfer state five
@@ -105,18 +105,18 @@
 };
 
 /// How an engine obtains the state of the prompt's shared parts.
-struct shared_plan {
+struct shared_state_plan {
     double cost_ms = 0;
-    std::uint64_t moved_tokens = 0;  ///< Tokens to fetch from other caches.
-    bool from_far = false;           ///< Whether to fetch from another region.
+    std::uint64_t fetched_tokens = 0;  ///< Tokens to fetch from other caches.
+    bool from_far = false;             ///< Whether to fetch from another region.
 
-    friend bool operator==(const shared_plan&, const shared_plan&) = default;
+    friend bool operator==(const shared_state_plan&, const shared_state_plan&) = default;
 };
 
 /// @return the cheaper of two plans: fetching from the same region and computing the rest, or
 /// fetching from any region. Thread-safe.
-shared_plan plan_shared(const placement_query& query, const engine_candidate& engine,
-                        const placement_tunables& tunables);
+shared_state_plan plan_shared_state(const placement_query& query, const engine_candidate& engine,
+                                    const placement_tunables& tunables);
 
 /// @return the candidate with the lowest cost, the first among equals; nothing if there are no
 /// candidates. Thread-safe.
--- a/src/ferryroad/core/placement/state_stores.cpp
+++ b/src/ferryroad/core/placement/state_stores.cpp
@@ -6,8 +6,8 @@
 
 namespace ferryroad::core::placement {
 
-const traffic::state_store* store_of(const std::vector<traffic::state_store>& stores,
-                                     const prefix::declared_prompt& prompt) {
+const traffic::state_store* select_store(const std::vector<traffic::state_store>& stores,
+                                         const prefix::declared_prompt& prompt) {
     if (stores.empty() || prompt.shared_parts() == 0) {
         return nullptr;
     }
@@ -21,7 +21,7 @@
     return &*best;
 }
 
-bool is_worth_saving(const prompt_reading& reading) {
+bool is_worth_saving(const prompt_prefill& reading) {
     const std::uint64_t read = reading.shared - std::min(reading.held, reading.shared);
     return read > 0 && reading.own <= read;
 }
--- a/src/ferryroad/core/placement/state_stores.hpp
+++ b/src/ferryroad/core/placement/state_stores.hpp
@@ -13,11 +13,11 @@
 
 /// @return the store for the prompt's state, selected by its deepest shared part and the same at
 /// all routers; null without stores or shared parts. Thread-safe.
-const traffic::state_store* store_of(const std::vector<traffic::state_store>& stores,
-                                     const prefix::declared_prompt& prompt);
+const traffic::state_store* select_store(const std::vector<traffic::state_store>& stores,
+                                         const prefix::declared_prompt& prompt);
 
 /// Numbers of tokens of a prompt before its prefill.
-struct prompt_reading {
+struct prompt_prefill {
     std::uint64_t shared = 0;  ///< Tokens of the shared parts.
     std::uint64_t held = 0;    ///< Shared tokens that are cached somewhere.
     std::uint64_t own = 0;     ///< Tokens of the last part, which is saved with the shared parts.
@@ -26,6 +26,6 @@
 /// @return whether to save the state: if shared tokens are newly computed and the last part, which
 /// no other request uses, is not longer than these. Saving a longer one would take up the store's
 /// bandwidth and evict other state. Thread-safe.
-bool is_worth_saving(const prompt_reading& reading);
+bool is_worth_saving(const prompt_prefill& reading);
 
 }  // namespace ferryroad::core::placement
--- a/src/ferryroad/core/quarantine/crash_suspects.cpp
+++ b/src/ferryroad/core/quarantine/crash_suspects.cpp
@@ -34,8 +34,8 @@
 }  // namespace
 
 bool is_same_crash(const engine_crash& first, const engine_crash& second) {
-    return first.engine == second.engine && first.began <= second.at + crash_slack &&
-           second.began <= first.at + crash_slack;
+    return first.engine == second.engine && first.began <= second.at + crash_time_tolerance &&
+           second.began <= first.at + crash_time_tolerance;
 }
 
 crash_suspects::crash_suspects(suspects_tunables tunables)
@@ -54,7 +54,7 @@
     }
     const bool has_changes = merge(*known, report) || is_new;
     if (has_changes) {
-        m_next_evaluation = std::max(now, m_last_evaluation + m_tunables.look_pace);
+        m_next_evaluation = std::max(now, m_last_evaluation + m_tunables.evaluation_interval);
     }
     drop_expired(now);
     return has_changes;
@@ -93,7 +93,7 @@
     }
 }
 
-bool crash_suspects::record_good_end(const request_identity& request, base::monotonic_time now) {
+bool crash_suspects::record_success(const request_identity& request, base::monotonic_time now) {
     m_successes.record(request, now);
     bool known = m_quarantined.erase(request) > 0;
     for (engine_crash& crash : m_crashes) {
@@ -117,7 +117,7 @@
                        [&](const engine_crash& crash) { return is_charged(crash, request); });
 }
 
-std::vector<quarantined_request> crash_suspects::take_new(base::monotonic_time now) {
+std::vector<quarantined_request> crash_suspects::take_newly_quarantined(base::monotonic_time now) {
     evaluate(now);
     return std::exchange(m_new, {});
 }
@@ -173,7 +173,7 @@
         const auto before = m_quarantined.find(one.request);
         const bool already_charged =
             before != m_quarantined.end() && crash.at <= before->second.until;
-        if (!is_chargeable(crash, one) || already_charged || ended_well_lately(one.request, now)) {
+        if (!is_chargeable(crash, one) || already_charged || succeeded_recently(one.request, now)) {
             continue;
         }
         tally& sum = all[one.request];
--- a/src/ferryroad/core/quarantine/crash_suspects.hpp
+++ b/src/ferryroad/core/quarantine/crash_suspects.hpp
@@ -48,7 +48,7 @@
 
 /// Tolerance for comparing times of different routers. They are exchanged as ages, which are off by
 /// the latency of a message.
-inline constexpr base::duration crash_slack = std::chrono::milliseconds(250);
+inline constexpr base::duration crash_time_tolerance = std::chrono::milliseconds(250);
 
 /// @return whether both report the crash of the same process. An exchange that started after a
 /// crash was with the next process. The start time that an engine reports is not used, because it
@@ -100,7 +100,7 @@
     std::size_t candidates = 64;  ///< Candidates of one crash.
     /// Minimum interval between two evaluations of all crashes. One takes 0.23 ms for 1,024 crashes
     /// with three candidates each (mean of 50).
-    base::duration look_pace = std::chrono::milliseconds(20);
+    base::duration evaluation_interval = std::chrono::milliseconds(20);
 };
 
 /// Deterministic: the same reports in any order lead to the same quarantined requests, except for
@@ -115,9 +115,9 @@
     /// Records that an engine ran the request successfully. The request is removed from the
     /// candidates of all earlier crashes and from quarantine.
     /// @return whether it was a candidate or quarantined, so that other routers must be notified.
-    bool record_good_end(const request_identity& request, base::monotonic_time now);
+    bool record_success(const request_identity& request, base::monotonic_time now);
     /// @return whether the request succeeded within `success_lifetime`.
-    bool ended_well_lately(const request_identity& request, base::monotonic_time now) const {
+    bool succeeded_recently(const request_identity& request, base::monotonic_time now) const {
         return m_successes.contains(request, now);
     }
 
@@ -127,9 +127,9 @@
     /// @return whether the request is a candidate of any remembered crash.
     bool is_candidate(const request_identity& request) const;
     /// @return the requests quarantined since the last call.
-    std::vector<quarantined_request> take_new(base::monotonic_time now);
-    /// @return when `take_new` may return a request, given the reports so far; nothing if none is
-    /// expected.
+    std::vector<quarantined_request> take_newly_quarantined(base::monotonic_time now);
+    /// @return when `take_newly_quarantined` may return a request, given the reports so far;
+    /// nothing if none is expected.
     std::optional<base::monotonic_time> next_look() const { return m_next_evaluation; }
     /// @return the number of requests in quarantine.
     std::size_t quarantined(base::monotonic_time now) const;
--- a/src/ferryroad/core/routing/import_limiter.cpp
+++ b/src/ferryroad/core/routing/import_limiter.cpp
@@ -53,7 +53,7 @@
         std::count_if(moves_.begin(), moves_.end(),
                       [&move](const active_move& each) { return each.move.target == move.target; });
     const auto most = static_cast<std::ptrdiff_t>(limits_.max_per_engine);
-    return moves_.size() >= limits_.at_once || of_source >= most || of_target >= most;
+    return moves_.size() >= limits_.max_concurrent || of_source >= most || of_target >= most;
 }
 
 }  // namespace ferryroad::core::routing
--- a/src/ferryroad/core/routing/import_limiter.hpp
+++ b/src/ferryroad/core/routing/import_limiter.hpp
@@ -12,7 +12,7 @@
 namespace ferryroad::core::routing {
 
 struct import_limits {
-    std::size_t at_once = 8;         ///< Maximum number of concurrent moves started by this router.
+    std::size_t max_concurrent = 8;  ///< Maximum number of concurrent moves started by this router.
     std::size_t max_per_engine = 2;  ///< Maximum number per target and per source.
     /// Time after which a move counts as ended if its end was not reported.
     base::duration max_duration = std::chrono::seconds(5);
--- a/src/ferryroad/core/stream/event_splitter.cpp
+++ b/src/ferryroad/core/stream/event_splitter.cpp
@@ -47,9 +47,9 @@
 
 }  // namespace
 
-std::vector<whole_event> event_splitter::feed(std::string_view bytes) {
+std::vector<complete_event> event_splitter::feed(std::string_view bytes) {
     m_pending.append(bytes);
-    std::vector<whole_event> events;
+    std::vector<complete_event> events;
     std::string_view rest = m_pending;
     for (;;) {
         const std::size_t end = end_of_event(rest);
--- a/src/ferryroad/core/stream/event_splitter.hpp
+++ b/src/ferryroad/core/stream/event_splitter.hpp
@@ -12,11 +12,11 @@
 namespace ferryroad::core::stream {
 
 /// One complete event.
-struct whole_event {
+struct complete_event {
     std::string bytes;                ///< Includes the empty line that ends the event.
     std::optional<std::uint64_t> id;  ///< Nothing if the event has no id or it is not a number.
 
-    friend bool operator==(const whole_event&, const whole_event&) = default;
+    friend bool operator==(const complete_event&, const complete_event&) = default;
 };
 
 /// Not thread-safe.
@@ -24,11 +24,11 @@
   public:
     /// Adds the next bytes of the stream.
     /// @return the events that `bytes` complete, in order.
-    std::vector<whole_event> feed(std::string_view bytes);
+    std::vector<complete_event> feed(std::string_view bytes);
     /// @return whether the bytes so far end in the middle of an event.
     bool in_event() const { return !m_pending.empty(); }
     /// @return the number of buffered bytes, so that the caller can limit the size of an event.
-    std::size_t held_bytes() const { return m_pending.size(); }
+    std::size_t buffered_bytes() const { return m_pending.size(); }
 
   private:
     std::string m_pending;
--- a/src/ferryroad/core/topology/path_costs.cpp
+++ b/src/ferryroad/core/topology/zone_latency_estimator.cpp
@@ -1,15 +1,16 @@
-#include "ferryroad/core/topology/path_costs.hpp"
+#include "ferryroad/core/topology/zone_latency_estimator.hpp"
 
 #include <algorithm>
 #include <utility>
 
 namespace ferryroad::core::topology {
 
-path_costs::path_costs(base::zone_name self, zone_map zones, path_tunables tunables)
+zone_latency_estimator::zone_latency_estimator(base::zone_name self, zone_map zones,
+                                               zone_latency_tunables tunables)
     : m_self(std::move(self)), m_zones(std::move(zones)), m_tunables(tunables) {}
 
-void path_costs::record(const base::zone_name& zone, base::duration took,
-                        base::monotonic_time now) {
+void zone_latency_estimator::record(const base::zone_name& zone, base::duration took,
+                                    base::monotonic_time now) {
     if (took < base::duration{}) {
         return;
     }
@@ -26,8 +27,8 @@
     ++known.current.samples;
 }
 
-bool path_costs::minimum(const base::zone_name& zone, base::monotonic_time now,
-                         base::duration& found) const {
+bool zone_latency_estimator::minimum(const base::zone_name& zone, base::monotonic_time now,
+                                     base::duration& found) const {
     const auto known = m_samples.find(zone);
     if (known == m_samples.end()) {
         return false;
@@ -44,12 +45,13 @@
     return samples >= m_tunables.min_samples;
 }
 
-base::duration path_costs::assumed_round_trip(const base::zone_name& zone) const {
+base::duration zone_latency_estimator::assumed_round_trip(const base::zone_name& zone) const {
     const bool far = m_zones.between(m_self, zone) == distance::other_region;
     return far ? m_tunables.assumed_region_round_trip : base::duration{};
 }
 
-base::duration path_costs::beyond_own(const base::zone_name& zone, base::monotonic_time now) const {
+base::duration zone_latency_estimator::excess_round_trip(const base::zone_name& zone,
+                                                         base::monotonic_time now) const {
     base::duration there{};
     base::duration here{};
     if (zone == m_self || !minimum(zone, now, there) || !minimum(m_self, now, here)) {
--- a/src/ferryroad/core/topology/path_costs.hpp
+++ b/src/ferryroad/core/topology/zone_latency_estimator.hpp
@@ -14,7 +14,7 @@
 
 namespace ferryroad::core::topology {
 
-struct path_tunables {
+struct zone_latency_tunables {
     /// Round trip assumed to a zone of another region until there are enough samples. Light in
     /// fibre takes 10 ms for a round trip over 1000 km, and routes are up to twice as long.
     base::duration assumed_region_round_trip = std::chrono::milliseconds(40);
@@ -31,9 +31,10 @@
 /// minimum approaches the round trip. A suspended peer, a busy engine or an outlier only makes an
 /// exchange longer and does not affect the minimum. Negative durations, which a step of a clock can
 /// cause, are ignored. Not thread-safe.
-class path_costs {
+class zone_latency_estimator {
   public:
-    explicit path_costs(base::zone_name self, zone_map zones = {}, path_tunables tunables = {});
+    explicit zone_latency_estimator(base::zone_name self, zone_map zones = {},
+                                    zone_latency_tunables tunables = {});
 
     /// Records an exchange with a peer in the zone. All recorded exchanges must be of the same
     /// kind, so that they are comparable.
@@ -42,7 +43,7 @@
 
     /// @return the round trip to the zone less that within the own zone. Without enough samples it
     /// is assumed from the distance: 0 within a region.
-    base::duration beyond_own(const base::zone_name& zone, base::monotonic_time now) const;
+    base::duration excess_round_trip(const base::zone_name& zone, base::monotonic_time now) const;
 
   private:
     struct window {
@@ -62,7 +63,7 @@
 
     base::zone_name m_self;
     zone_map m_zones;
-    path_tunables m_tunables;
+    zone_latency_tunables m_tunables;
     std::map<base::zone_name, samples_of_zone> m_samples;
 };
 
--- a/src/ferryroad/core/traffic/traffic_policy.cpp
+++ b/src/ferryroad/core/traffic/traffic_policy.cpp
@@ -5,11 +5,11 @@
 
 namespace ferryroad::core::traffic {
 
-double counted_amount(const tenant_quota& quota, std::optional<std::uint64_t> declared_tokens) {
+double quota_amount(const tenant_quota& quota, std::optional<std::uint64_t> declared_tokens) {
     if (quota.unit == quota_unit::requests) {
         return 1;
     }
-    return static_cast<double>(declared_tokens.value_or(quota.untold_tokens));
+    return static_cast<double>(declared_tokens.value_or(quota.default_tokens));
 }
 
 traffic_policy::traffic_policy(declaration declared) : m_declared(std::move(declared)) {
--- a/src/ferryroad/core/traffic/traffic_policy.hpp
+++ b/src/ferryroad/core/traffic/traffic_policy.hpp
@@ -50,18 +50,18 @@
 };
 
 /// Capacity of the engines of a pool that runs a model.
-struct model_engine_figures {
+struct model_engine_capacity {
     std::uint32_t slots = 1;               ///< Maximum number of concurrent requests per engine.
     std::uint64_t kv_capacity_tokens = 0;  ///< Size of an engine's KV cache in tokens.
     double kv_token_bytes = 0;             ///< Size of one token in the KV cache, in bytes.
 
-    friend bool operator==(const model_engine_figures&, const model_engine_figures&) = default;
+    friend bool operator==(const model_engine_capacity&, const model_engine_capacity&) = default;
 };
 
 struct pool {
     base::pool_name name;
     std::uint32_t connection_limit = 0;  ///< Limit of one engine over all its clients; 0: none.
-    std::optional<model_engine_figures> model;  ///< Nothing for application services.
+    std::optional<model_engine_capacity> model;  ///< Nothing for application services.
 
     friend bool operator==(const pool&, const pool&) = default;
 };
@@ -83,16 +83,16 @@
 /// Quota of a tenant over all routers together.
 struct tenant_quota {
     quota_unit unit = quota_unit::requests;
-    double per_second = 0;            ///< Rate in `unit` per second, above 0.
-    double burst = 0;                 ///< Burst beyond the rate, in `unit`.
-    std::uint64_t untold_tokens = 0;  ///< Tokens counted for a request that declares none.
+    double per_second = 0;             ///< Rate in `unit` per second, above 0.
+    double burst = 0;                  ///< Burst beyond the rate, in `unit`.
+    std::uint64_t default_tokens = 0;  ///< Tokens counted for a request that declares none.
 
     friend bool operator==(const tenant_quota&, const tenant_quota&) = default;
 };
 
 /// @param declared_tokens tokens of the request's prompt and expected answer, if it declares them.
 /// @return the amount that a request counts against the quota. Thread-safe.
-double counted_amount(const tenant_quota& quota, std::optional<std::uint64_t> declared_tokens);
+double quota_amount(const tenant_quota& quota, std::optional<std::uint64_t> declared_tokens);
 
 struct tenant {
     base::tenant_name name;
--- a/src/ferryroad/peer/traffic_notice.hpp
+++ b/src/ferryroad/peer/traffic_notice.hpp
@@ -60,7 +60,7 @@
     base::zone_name zone;
     /// Whether `loads` is all of the sender's load; else it says nothing of it.
     bool loads_complete = false;
-    std::vector<core::placement::stated_load> loads;
+    std::vector<core::placement::router_load> loads;
     std::vector<seen_weights> weights;
     std::vector<expected_state> expected;
     std::vector<holder_changes> changes;
--- a/src/ferryroad/peer/traffic_notice_codec.cpp
+++ b/src/ferryroad/peer/traffic_notice_codec.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-using core::placement::stated_load;
+using core::placement::router_load;
 using core::prefix::scoped_part;
 
 /// Tells notices from other datagrams.
@@ -54,7 +54,7 @@
     return parts;
 }
 
-offset<wire::EngineLoad> write_load(buffer_builder& builder, const stated_load& load) {
+offset<wire::EngineLoad> write_load(buffer_builder& builder, const router_load& load) {
     const auto engine = write_shared(builder, load.engine.value);
     const auto refuses =
         std::chrono::duration_cast<std::chrono::milliseconds>(load.refuses_for).count();
@@ -91,7 +91,7 @@
                                      parts.keys, parts.tokens);
 }
 
-stated_load read_load(field_reader& reader, const wire::EngineLoad& load) {
+router_load read_load(field_reader& reader, const wire::EngineLoad& load) {
     return {reader.name<base::engine_name>(load.engine()), load.running(), load.prefill_tokens(),
             std::chrono::milliseconds(load.refuses_milliseconds())};
 }
--- a/src/ferryroad/relay/canary_traffic.cpp
+++ b/src/ferryroad/relay/canary_traffic.cpp
@@ -145,8 +145,8 @@
     if (candidates.empty()) {
         candidates = std::move(warming);  // Slow, but their failures are evidence.
     }
-    const auto chosen = canary::canary_engines(one.own.order.number.value, candidates, current,
-                                               m_settings.exposure.share);
+    const auto chosen = canary::select_canary_engines(one.own.order.number.value, candidates,
+                                                      current, m_settings.exposure.share);
     one.canaries = {chosen.begin(), chosen.end()};
     one.chosen_at = now;
 }
--- a/src/ferryroad/relay/peer_exchange.cpp
+++ b/src/ferryroad/relay/peer_exchange.cpp
@@ -147,8 +147,8 @@
     return notice;
 }
 
-std::vector<core::placement::stated_load> peer_exchange::own_loads(base::monotonic_time now) const {
-    std::vector<core::placement::stated_load> loads;
+std::vector<core::placement::router_load> peer_exchange::own_loads(base::monotonic_time now) const {
+    std::vector<core::placement::router_load> loads;
     for (const known_engine* engine : m_ports.registry.active(now)) {
         const base::duration refuses = std::max(engine->refuses_until - now, base::duration{});
         loads.push_back(
--- a/src/ferryroad/relay/peer_exchange.hpp
+++ b/src/ferryroad/relay/peer_exchange.hpp
@@ -129,7 +129,7 @@
     void send(const peer::traffic_notice& notice, base::monotonic_time now);
     void send_to(const std::vector<base::endpoint>& targets, const peer::traffic_notice& notice);
     peer::traffic_notice new_notice() const;
-    std::vector<core::placement::stated_load> own_loads(base::monotonic_time now) const;
+    std::vector<core::placement::router_load> own_loads(base::monotonic_time now) const;
 
     peer_exchange_ports m_ports;
     peer_address m_self;
@@ -139,7 +139,7 @@
     std::function<void(const base::router_name&)> m_on_gone;
     base::monotonic_time m_gone_reported_at{};
     exchange_settings m_settings;
-    std::vector<core::placement::stated_load> m_sent_loads;  ///< As last sent to peers.
+    std::vector<core::placement::router_load> m_sent_loads;  ///< As last sent to peers.
     base::monotonic_time m_loads_sent_at{};
     std::vector<peer::seen_weights> m_pending_weights;
     std::vector<peer::expected_state> m_pending_expected;
--- a/src/ferryroad/relay/relay_driver.hpp
+++ b/src/ferryroad/relay/relay_driver.hpp
@@ -590,8 +590,8 @@
             feed(execution::exchange_ended{m_exchange, m_machine.emitted_tokens()});
             co_return;
         }
-        bool valid = m_splitter.held_bytes() < m_tunables.max_answer_bytes;
-        for (core::stream::whole_event& event : m_splitter.feed(*bytes)) {
+        bool valid = m_splitter.buffered_bytes() < m_tunables.max_answer_bytes;
+        for (core::stream::complete_event& event : m_splitter.feed(*bytes)) {
             valid = valid && is_in_order(event);
             if (!valid) {
                 break;
@@ -604,11 +604,11 @@
         }
     }
 
-    bool is_in_order(const core::stream::whole_event& event) const {
+    bool is_in_order(const core::stream::complete_event& event) const {
         return !event.id || !m_last_id || *event.id == *m_last_id + 1;
     }
 
-    void handle_event(const core::stream::whole_event& event) {
+    void handle_event(const core::stream::complete_event& event) {
         if (event.id) {
             m_last_id = event.id;
         }
--- a/src/ferryroad/relay/relay_plan.cpp
+++ b/src/ferryroad/relay/relay_plan.cpp
@@ -36,9 +36,9 @@
     execution::tunables limits;
     limits.executions = std::max(1U, plan.matched_route->attempts);
     limits.attempts = limits.executions + tunables.extra_dispatches;
-    limits.resumes_per_attempt = 0;
-    limits.overloaded_refusals = limits.attempts;
-    limits.stale_target_is_free = false;
+    limits.max_resumes_per_attempt = 0;
+    limits.max_overloaded_refusals = limits.attempts;
+    limits.stale_target_retry_is_free = false;
     limits.retry_after = tunables.retry_after;
     return limits;
 }
--- a/src/ferryroad/relay/relay_service.hpp
+++ b/src/ferryroad/relay/relay_service.hpp
@@ -125,7 +125,7 @@
         const core::traffic::tenant_quota& quota = *plan.tenant->quota;
         const quotas::rate_limit limit{base::revision(plan.policy->version()), quota.per_second,
                                        quota.burst};
-        const double amount = core::traffic::counted_amount(quota, plan.call->declared_tokens);
+        const double amount = core::traffic::quota_amount(quota, plan.call->declared_tokens);
         const quotas::quota_decision decision =
             co_await m_dependencies.count_quota(plan.tenant->name, limit, amount);
         if (decision.verdict.granted) {
--- a/src/ferryroad/relay/request_quarantine.cpp
+++ b/src/ferryroad/relay/request_quarantine.cpp
@@ -60,7 +60,7 @@
                                         const request_identity& request,
                                         const broken_exchange& how) {
     const base::monotonic_time now = m_scheduler.now();
-    if (m_suspects.ended_well_lately(request, now)) {
+    if (m_suspects.succeeded_recently(request, now)) {
         return;
     }
     const auto [place, is_first] = m_broken.try_emplace(engine.name);
@@ -139,7 +139,7 @@
 }
 
 void request_quarantine::exchange_completed(const request_identity& request) {
-    if (m_suspects.record_good_end(request, m_scheduler.now())) {
+    if (m_suspects.record_success(request, m_scheduler.now())) {
         report_cleared(request, "own exchange");
         if (m_callbacks.cleared) {
             m_callbacks.cleared(request);
@@ -154,7 +154,7 @@
     crash.at = std::min(reported.at, now);
     std::vector<request_identity> completed_here;
     std::erase_if(crash.candidates, [&](const crash_candidate& one) {
-        const bool completed = m_suspects.ended_well_lately(one.request, now);
+        const bool completed = m_suspects.succeeded_recently(one.request, now);
         if (completed) {
             completed_here.push_back(one.request);
         }
@@ -180,7 +180,7 @@
 }
 
 void request_quarantine::learn_cleared(const request_identity& request, std::string_view from) {
-    if (m_suspects.record_good_end(request, m_scheduler.now())) {
+    if (m_suspects.record_success(request, m_scheduler.now())) {
         report_cleared(request, from);
     }
 }
@@ -206,13 +206,13 @@
     }
     std::vector<withdrawn_request> taken;
     for (const withdrawn_request& one : found->second) {
-        const bool began_before = one.began <= crashed_at + core::quarantine::crash_slack;
+        const bool began_before = one.began <= crashed_at + core::quarantine::crash_time_tolerance;
         if (began_before && crashed_at <= one.until) {
             taken.push_back(one);
         }
     }
     std::erase_if(found->second, [&](const withdrawn_request& one) {
-        return one.began <= crashed_at + core::quarantine::crash_slack;
+        return one.began <= crashed_at + core::quarantine::crash_time_tolerance;
     });
     return taken;
 }
@@ -237,7 +237,7 @@
 
 void request_quarantine::report_quarantined() {
     const base::monotonic_time now = m_scheduler.now();
-    for (const quarantined_request& one : m_suspects.take_new(now)) {
+    for (const quarantined_request& one : m_suspects.take_newly_quarantined(now)) {
         ++m_counters.quarantined;
         runtime::log(runtime::log_level::warning, component, "request quarantined",
                      {{"digest", to_string(one.request)},
--- a/src/ferryroad/relay/selection.cpp
+++ b/src/ferryroad/relay/selection.cpp
@@ -155,7 +155,7 @@
 bool engine_selection::cross_region_fetch_pays_off() const {
     const placement::placement_tunables& costs = m_settings.placement;
     return costs.fetch_token_ms * costs.far_fetch_factor <
-           costs.reread_factor / costs.prefill_tokens_per_ms;
+           costs.avoidable_recompute_factor / costs.prefill_tokens_per_ms;
 }
 
 engine_selection::scoped_prompt engine_selection::make_scoped_prompt(
@@ -237,7 +237,7 @@
         }
         const auto others = loads.find(engine.listed.name);
         eligible_engine one{&engine,
-                            others == loads.end() ? placement::shared_load{} : others->second,
+                            others == loads.end() ? placement::peer_load{} : others->second,
                             nullptr, std::nullopt, std::nullopt};
         if (query.call.prompt) {
             const std::string& model = query.call.prompt->model;
@@ -256,7 +256,7 @@
     placement::engine_candidate candidate;
     candidate.name = engine.listed.name;
     candidate.away = m_settings.zones.between(m_settings.zone, engine.listed.zone);
-    candidate.path_ms = base::to_seconds(m_paths.beyond_own(engine.listed.zone, now)) * 1000;
+    candidate.path_ms = base::to_seconds(m_paths.excess_round_trip(engine.listed.zone, now)) * 1000;
     const bool refuses =
         now < std::max(engine.refuses_until, engine.loading_until) || one.others.refuses;
     candidate.suspended = engine.health.suspended(now) || refuses;
@@ -289,7 +289,7 @@
     const std::uint64_t held = std::max(candidate.warm_tokens, candidate.fetchable_tokens);
     const std::uint64_t own = placed.input_tokens - std::min(held, placed.input_tokens);
     const double pending =
-        static_cast<double>(candidate.pending_prefill_tokens) * placed.unseen_load;
+        static_cast<double>(candidate.pending_prefill_tokens) * placed.load_multiplier;
     placement::expected_work work;
     work.tokens_before = own + static_cast<std::uint64_t>(pending);
     work.output_tokens = query.call.prompt->output_tokens;
@@ -429,8 +429,8 @@
     scoped_prompts prompts;
     std::vector<eligible_engine> engines = eligible_engines(query, prompts, now);
     placement::placement_query placed;
-    placed.unseen_load = m_unseen_load_factor;
-    placed.knows_holders = !m_knows_holders || m_knows_holders();
+    placed.load_multiplier = m_unseen_load_factor;
+    placed.all_holders_known = !m_knows_holders || m_knows_holders();
     const known_engine* home = nullptr;
     for (const eligible_engine& one : engines) {
         placed.candidates.push_back(candidate_of(one, now));
@@ -465,8 +465,8 @@
     chosen.zone = one.engine->listed.zone;
     chosen.away = candidate.away;
     chosen.path_ms = candidate.path_ms;
-    const placement::shared_plan plan =
-        placement::plan_shared(placed, candidate, m_settings.placement);
+    const placement::shared_state_plan plan =
+        placement::plan_shared_state(placed, candidate, m_settings.placement);
     chosen.fetchable_tokens =
         plan.from_far ? candidate.far_fetchable_tokens : candidate.fetchable_tokens;
     if (one.prompt != nullptr) {
@@ -482,10 +482,10 @@
         const std::uint64_t held = std::max(chosen.warm_tokens, chosen.fetchable_tokens);
         chosen.prefill_tokens = placed.input_tokens - std::min(held, placed.input_tokens);
         add_state_terms(query, *one.prompt, plan.from_far, now, chosen);
-        if (!placed.knows_holders) {
+        if (!placed.all_holders_known) {
             add_home_terms(query, *one.prompt, home, now, chosen);
         }
-        set_transfer(query, plan.moved_tokens, chosen);
+        set_transfer(query, plan.fetched_tokens, chosen);
     }
     return chosen;
 }
@@ -557,7 +557,7 @@
                                                 selected_engine& chosen) const {
     const core::prefix::declared_prompt& declared = *query.call.prompt;
     const auto stores = stores_for(query, cross_region, chosen.zone);
-    const core::traffic::state_store* home = placement::store_of(stores, declared);
+    const core::traffic::state_store* home = placement::select_store(stores, declared);
     if (home == nullptr) {
         return 0;
     }
@@ -572,7 +572,7 @@
             chosen.fetched_state_zone = store.zone;
         }
     }
-    placement::prompt_reading reading;
+    placement::prompt_prefill reading;
     reading.shared = declared.shared_tokens();
     reading.held = std::max(chosen.warm_tokens, chosen.fetchable_tokens);
     reading.own = declared.input_tokens - std::min(reading.shared, declared.input_tokens);
--- a/src/ferryroad/relay/selection.hpp
+++ b/src/ferryroad/relay/selection.hpp
@@ -10,7 +10,7 @@
 #include "ferryroad/core/placement/gap_pressure.hpp"
 #include "ferryroad/core/placement/placement.hpp"
 #include "ferryroad/core/placement/warm_state.hpp"
-#include "ferryroad/core/topology/path_costs.hpp"
+#include "ferryroad/core/topology/zone_latency_estimator.hpp"
 #include "ferryroad/core/topology/zone_map.hpp"
 #include "ferryroad/core/traffic/traffic_policy.hpp"
 #include "ferryroad/relay/canary_traffic.hpp"
@@ -120,10 +120,10 @@
         m_is_connected = std::move(is_connected);
     }
 
-    /// @param knows_holders whether the cached state of all engines is followed. If not set, it is
-    /// taken to be.
-    void set_holders_known_check(std::function<bool()> knows_holders) {
-        m_knows_holders = std::move(knows_holders);
+    /// @param all_holders_known whether the cached state of all engines is followed. If not set, it
+    /// is taken to be.
+    void set_holders_known_check(std::function<bool()> all_holders_known) {
+        m_knows_holders = std::move(all_holders_known);
     }
 
     /// Scales the known load of each engine: routers whose load isn't received are assumed to load
@@ -212,7 +212,7 @@
     /// An engine that may get the request, with the inputs of its cost.
     struct eligible_engine {
         const known_engine* engine = nullptr;
-        core::placement::shared_load others;    ///< Load from other routers.
+        core::placement::peer_load others;      ///< Load from other routers.
         const scoped_prompt* prompt = nullptr;  ///< Null if the request has no prompt.
         /// Set for a request with a prompt if the engine's weights are outdated.
         std::optional<base::monotonic_time> outdated_since;
@@ -317,7 +317,7 @@
     const canary_traffic* m_releases = nullptr;
     std::map<base::pool_name, core::placement::gap_pressure> m_gap_pressures;
     std::map<base::pool_name, core::placement::begin_forecast> m_forecasts;
-    core::topology::path_costs m_paths;
+    core::topology::zone_latency_estimator m_paths;
     std::function<bool(const base::endpoint&)> m_is_connected;
     std::function<bool()> m_knows_holders;
     double m_unseen_load_factor = 1;  ///< Applied to the load of engines; see `expect_routers`.
--- a/src/ferryroad/router/request/fair_admission.cpp
+++ b/src/ferryroad/router/request/fair_admission.cpp
@@ -135,7 +135,7 @@
     const std::size_t engines = directory.available(pool).size();
     const std::size_t places = std::max<std::size_t>(engines, 1) * limits.places_per_engine;
     const auto [found, added] = pools.try_emplace(pool, places);
-    found->second.queue.change_places(places);
+    found->second.queue.set_max_running(places);
     return found->second;
 }
 
--- a/test/core/canary/exposure_test.cpp
+++ b/test/core/canary/exposure_test.cpp
@@ -93,40 +93,40 @@
     cr_assert_eq(budget.exposed(), 1);
 }
 
-Test(canary_engines, all_routers_choose_alike_whatever_the_order_of_the_list) {
+Test(select_canary_engines, all_routers_choose_alike_whatever_the_order_of_the_list) {
     cr_assert(rc::check([] {
         engines candidates = named(*rc::gen::inRange<std::size_t>(1, 150));
         const auto order = *rc::gen::arbitrary<std::uint64_t>();
         const auto current = *rc::gen::inRange<std::size_t>(0, 150);
         const double share = any_share();
-        const engines chosen = canary_engines(order, candidates, current, share);
+        const engines chosen = select_canary_engines(order, candidates, current, share);
         std::reverse(candidates.begin(), candidates.end());
         candidates.push_back(candidates.front());
-        RC_ASSERT(canary_engines(order, candidates, current, share) == chosen);
+        RC_ASSERT(select_canary_engines(order, candidates, current, share) == chosen);
         RC_ASSERT(!chosen.empty());
         RC_ASSERT(set_of(chosen).size() == chosen.size());
     }));
 }
 
-Test(canary_engines, when_one_goes_at_most_one_other_enters) {
+Test(select_canary_engines, when_one_goes_at_most_one_other_enters) {
     cr_assert(rc::check([] {
         engines candidates = named(*rc::gen::inRange<std::size_t>(2, 150));
         const auto order = *rc::gen::arbitrary<std::uint64_t>();
         const auto current = *rc::gen::inRange<std::size_t>(0, 150);
-        const engines before = canary_engines(order, candidates, current, 0.07);
+        const engines before = select_canary_engines(order, candidates, current, 0.07);
         const auto gone = *rc::gen::inRange<std::size_t>(0, candidates.size());
         const bool was_chosen = set_of(before).contains(candidates[gone]);
         candidates.erase(candidates.begin() + static_cast<std::ptrdiff_t>(gone));
-        const engines after = canary_engines(order, candidates, current, 0.07);
+        const engines after = select_canary_engines(order, candidates, current, 0.07);
         RC_ASSERT(missing_in(after, before) <= (was_chosen ? 1U : 0U));
         RC_ASSERT(missing_in(before, after) == (was_chosen ? 1U : 0U));
     }));
 }
 
-Test(canary_engines, each_has_about_the_load_of_an_engine_in_force) {
+Test(select_canary_engines, each_has_about_the_load_of_an_engine_in_force) {
     for (std::size_t current = 1; current <= 200; ++current) {
         const double share = 0.07;
-        const auto chosen = canary_engines(1, named(current), current, share).size();
+        const auto chosen = select_canary_engines(1, named(current), current, share).size();
         const double each = share / static_cast<double>(chosen);
         const double current_engine_load = (1 - share) / static_cast<double>(current);
         cr_assert_leq(each, 1.25 * current_engine_load + rounding, "%zu", current);
@@ -135,15 +135,15 @@
     }
 }
 
-Test(canary_engines, none_where_there_are_none_and_all_where_there_are_few) {
-    cr_assert(canary_engines(1, {}, 100, 0.07).empty());
-    cr_assert_eq(canary_engines(1, named(2), 100, 0.07).size(), 2);
+Test(select_canary_engines, none_where_there_are_none_and_all_where_there_are_few) {
+    cr_assert(select_canary_engines(1, {}, 100, 0.07).empty());
+    cr_assert_eq(select_canary_engines(1, named(2), 100, 0.07).size(), 2);
 }
 
-Test(canary_engines, each_order_takes_others) {
+Test(select_canary_engines, each_order_takes_others) {
     std::set<base::engine_name> ever;
     for (std::uint64_t order = 1; order <= 50; ++order) {
-        ever.merge(set_of(canary_engines(order, named(20), 20, 0.07)));
+        ever.merge(set_of(select_canary_engines(order, named(20), 20, 0.07)));
     }
     cr_assert_geq(ever.size(), 15);
 }
--- a/test/core/execution/request_execution_test.cpp
+++ b/test/core/execution/request_execution_test.cpp
@@ -149,7 +149,7 @@
     running state(rules_of(true), 3);
     const tunables limits;
     std::uint32_t exchange = 1;
-    for (std::uint32_t resumed = 0; resumed < limits.resumes_per_attempt; ++resumed) {
+    for (std::uint32_t resumed = 0; resumed < limits.max_resumes_per_attempt; ++resumed) {
         const exchange_failed broken{exchange_number(exchange++), failure_kind::broken};
         cr_assert(find<resume_attempt>(state.feed(broken)));
     }
--- a/test/core/placement/engine_load_view_test.cpp
+++ b/test/core/placement/engine_load_view_test.cpp
@@ -21,7 +21,7 @@
     view.state(first, {{engine, 2, 700, {}}}, start);
     view.state(second, {{engine, 3, 50, {}}, {base::engine_name("e2"), 1, 0, {}}}, start);
     const auto totals = view.totals(start + 1s);
-    cr_assert(totals.at(engine) == (shared_load{5, 750, false}));
+    cr_assert(totals.at(engine) == (peer_load{5, 750, false}));
     cr_assert_eq(totals.size(), 2);
 }
 
--- a/test/core/placement/placement_regions_test.cpp
+++ b/test/core/placement/placement_regions_test.cpp
@@ -41,8 +41,8 @@
     cost += static_cast<double>(query.input_tokens -
                                 std::min(query.shared_tokens, query.input_tokens)) /
             tunables.prefill_tokens_per_ms;
-    cost += pending * query.unseen_load / tunables.prefill_tokens_per_ms;
-    cost += static_cast<double>(engine.running) / engine.slots * query.unseen_load *
+    cost += pending * query.load_multiplier / tunables.prefill_tokens_per_ms;
+    cost += static_cast<double>(engine.running) / engine.slots * query.load_multiplier *
             tunables.full_engine_ms;
     const double gap_ms = base::to_seconds(query.target_gap) * 1000;
     if (gap_ms > 0) {
@@ -56,8 +56,8 @@
                 query.gap_pressure;
     }
     if (engine.away != topology::distance::same_zone) {
-        cost +=
-            tunables.other_zone_ms + (query.unseen_load > 1 ? tunables.unknown_zone_load_ms : 0.0);
+        cost += tunables.other_zone_ms +
+                (query.load_multiplier > 1 ? tunables.unknown_zone_load_ms : 0.0);
     }
     cost += engine.outdated ? tunables.outdated_ms : 0.0;
     return cost + (engine.suspended ? tunables.suspended_ms : 0.0);
@@ -70,7 +70,7 @@
     query.input_tokens = query.shared_tokens + below(6000);
     query.target_gap = std::chrono::milliseconds(below(3) * 300);
     query.gap_pressure = static_cast<double>(below(11)) / 10;
-    query.unseen_load = 1 + static_cast<double>(below(3));
+    query.load_multiplier = 1 + static_cast<double>(below(3));
     query.transfer_kb = static_cast<double>(below(60));
     const std::uint64_t max_cached = query.shared_tokens + 1;
     for (std::uint64_t index = 0; index < 1 + below(12); ++index) {
@@ -154,16 +154,16 @@
     auto own = engine("own", topology::distance::same_zone);
     const placement_query query{9200, 6300, {}};
     own.far_fetchable_tokens = 6300;
-    shared_plan plan = plan_shared(query, own, tunables);
+    shared_state_plan plan = plan_shared_state(query, own, tunables);
     cr_assert(plan.from_far);
-    cr_assert_eq(plan.moved_tokens, 6300);
+    cr_assert_eq(plan.fetched_tokens, 6300);
     own.fetchable_tokens = 6000;
-    cr_assert_not(plan_shared(query, own, tunables).from_far);
-    cr_assert_eq(plan_shared(query, own, tunables).moved_tokens, 6000);
+    cr_assert_not(plan_shared_state(query, own, tunables).from_far);
+    cr_assert_eq(plan_shared_state(query, own, tunables).fetched_tokens, 6000);
     own.fetchable_tokens = 0;
     placement_tunables slow = tunables;
     slow.far_fetch_factor = 20;
-    plan = plan_shared(query, own, slow);
+    plan = plan_shared_state(query, own, slow);
     cr_assert_not(plan.from_far);
-    cr_assert_eq(plan.moved_tokens, 0);
+    cr_assert_eq(plan.fetched_tokens, 0);
 }
--- a/test/core/placement/placement_test.cpp
+++ b/test/core/placement/placement_test.cpp
@@ -132,7 +132,7 @@
     other.fetchable_tokens = 9000;
     auto query = long_prompt({holder, other});
     cr_assert_str_eq(winner(query).c_str(), "a");
-    query.unseen_load = 4;
+    query.load_multiplier = 4;
     cr_assert_str_eq(winner(query).c_str(), "b");
 }
 
@@ -143,6 +143,6 @@
     far.away = topology::distance::other_zone;
     placement_query query{0, 0, {far, near}};
     cr_assert_str_eq(winner(query).c_str(), "a");
-    query.unseen_load = 2;
+    query.load_multiplier = 2;
     cr_assert_str_eq(winner(query).c_str(), "b");
 }
--- a/test/core/placement/state_stores_test.cpp
+++ b/test/core/placement/state_stores_test.cpp
@@ -29,7 +29,7 @@
     std::map<std::string, int> prompts;
     for (int index = 0; index < 300; ++index) {
         const auto prompt = prompt_of("p" + std::to_string(index), "own");
-        ++prompts[store_of(stores, prompt)->address.to_string()];
+        ++prompts[select_store(stores, prompt)->address.to_string()];
     }
     cr_assert_eq(prompts.size(), 3);
     for (const auto& [address, count] : prompts) {
@@ -39,15 +39,15 @@
 
 Test(state_stores, requests_with_the_same_shared_parts_meet_in_any_order_of_stores) {
     auto stores = some_stores();
-    const std::string first = store_of(stores, prompt_of("p", "own-1"))->address.to_string();
+    const std::string first = select_store(stores, prompt_of("p", "own-1"))->address.to_string();
     std::swap(stores.front(), stores.back());
-    cr_assert(store_of(stores, prompt_of("p", "own-2"))->address.to_string() == first);
+    cr_assert(select_store(stores, prompt_of("p", "own-2"))->address.to_string() == first);
 }
 
 Test(state_stores, nothing_is_named_without_stores_or_shared_parts) {
-    cr_assert_null(store_of({}, prompt_of("p", "own")));
+    cr_assert_null(select_store({}, prompt_of("p", "own")));
     const prefix::declared_prompt alone{"m", {{"own", 100}}, 100, 5};
-    cr_assert_null(store_of(some_stores(), alone));
+    cr_assert_null(select_store(some_stores(), alone));
 }
 
 Test(state_stores, cached_state_is_not_saved) {
--- a/test/core/quarantine/crash_suspects_test.cpp
+++ b/test/core/quarantine/crash_suspects_test.cpp
@@ -99,14 +99,14 @@
 Test(crash_suspects, a_success_clears_a_request) {
     crash_suspects suspects;
     suspects.record_crash(crash("a", start, {1}), start);
-    cr_assert(suspects.record_good_end(request(1), start + 1s));
-    cr_assert_not(suspects.record_good_end(request(1), start + 1s), "nothing left to clear");
+    cr_assert(suspects.record_success(request(1), start + 1s));
+    cr_assert_not(suspects.record_success(request(1), start + 1s), "nothing left to clear");
     suspects.record_crash(crash("b", start + 2s, {1}), start + 2s);
     cr_assert_null(suspects.find(request(1), start + 3s));
     suspects.record_crash(crash("c", start + 14s, {1}), start + 14s);
     suspects.record_crash(crash("d", start + 16s, {1}), start + 16s);
     cr_assert_not_null(suspects.find(request(1), start + 30s), "the good end is long past");
-    cr_assert(suspects.record_good_end(request(1), start + 31s), "a run that began before");
+    cr_assert(suspects.record_success(request(1), start + 31s), "a run that began before");
     cr_assert_null(suspects.find(request(1), start + 32s));
 }
 
@@ -114,7 +114,7 @@
     crash_suspects suspects;
     for (int number = 0; number < 50; ++number) {
         const auto at = start + number * 400ms;
-        suspects.record_good_end(request(1), at);
+        suspects.record_success(request(1), at);
         suspects.record_crash(crash("a" + std::to_string(number), at + 1ms, {1}), at + 1ms);
         cr_assert_null(suspects.find(request(1), at + 300ms));
     }
@@ -293,7 +293,7 @@
                     crash_engine(index, at);
                     break;
                 }
-                suspects.record_good_end(request(one.number), moment(at));
+                suspects.record_success(request(one.number), moment(at));
                 std::erase_if(running[index],
                               [&](const auto& other) { return other.number == one.number; });
             }
--- a/test/core/routing/import_limiter_test.cpp
+++ b/test/core/routing/import_limiter_test.cpp
@@ -33,7 +33,7 @@
 }
 
 Test(import_limiter, a_move_without_a_reported_end_expires) {
-    import_limiter limiter({.at_once = 1, .max_duration = 2s});
+    import_limiter limiter({.max_concurrent = 1, .max_duration = 2s});
     const base::monotonic_time now{};
     cr_assert(limiter.begin(move_of(1, "a", "b"), now));
     cr_assert(!limiter.begin(move_of(2, "a", "c"), now + 1s));
@@ -42,7 +42,7 @@
 
 Test(import_limiter, the_limits_hold_at_any_time) {
     cr_assert(rc::check("at once, per source, per target; one of a kind", [] {
-        const import_limits limits{.at_once = *rc::gen::inRange<std::size_t>(1, 6),
+        const import_limits limits{.max_concurrent = *rc::gen::inRange<std::size_t>(1, 6),
                                    .max_per_engine = *rc::gen::inRange<std::size_t>(1, 4),
                                    .max_duration = 3s};
         import_limiter limiter(limits);
@@ -68,7 +68,7 @@
                 }
             }
             RC_ASSERT(limiter.in_progress(now) == model.size());
-            RC_ASSERT(model.size() <= limits.at_once);
+            RC_ASSERT(model.size() <= limits.max_concurrent);
             std::map<std::string, std::size_t> of_engine;
             std::map<std::pair<std::uint64_t, std::string>, int> of_kind;
             for (const started& each : model) {
--- a/test/core/stream/event_splitter_test.cpp
+++ b/test/core/stream/event_splitter_test.cpp
@@ -21,7 +21,7 @@
     cr_assert_eq(events[1].id, 2U);
     cr_assert_not(events[2].id.has_value());
     cr_assert(splitter.in_event());
-    cr_assert_eq(splitter.held_bytes(), 5);
+    cr_assert_eq(splitter.buffered_bytes(), 5);
 }
 
 Test(event_splitter, takes_carriage_returns_and_ids_without_a_space) {
@@ -56,7 +56,7 @@
         event_splitter whole;
         const auto expected = whole.feed(stream);
         event_splitter pieces;
-        std::vector<whole_event> got;
+        std::vector<complete_event> got;
         for (std::size_t at = 0; at < stream.size();) {
             const std::size_t length = 1 + random.below(9);
             for (auto& event : pieces.feed(stream.substr(at, length))) {
--- a/test/relay/peer_exchange_test.cpp
+++ b/test/relay/peer_exchange_test.cpp
@@ -79,7 +79,7 @@
     at.first.exchange.dispatched(engine, parts, 9190);
     const auto now = at.loop.scheduler.now();
     cr_assert(at.second.loads.totals(now).at(engine) ==
-              (core::placement::shared_load{1, 9190, false}));
+              (core::placement::peer_load{1, 9190, false}));
     cr_assert_eq(at.second.warm.tokens_held(parts, engine, now), 6300);
 }
 
--- a/test/relay/quarantine_races_test.cpp
+++ b/test/relay/quarantine_races_test.cpp
@@ -125,7 +125,7 @@
                 {base::engine_name(name), now, now, {{bad_identity(), true}}, 0}, "r2");
         }
         // The first report is evaluated at once, the others with the next evaluation.
-        m_quarantined_at = now + core::quarantine::suspects_tunables{}.look_pace;
+        m_quarantined_at = now + core::quarantine::suspects_tunables{}.evaluation_interval;
     }
     core::quarantine::request_identity bad_identity() {
         relay_call call = m_router.call_of(m_bad_path, 100, 10);
--- a/test/relay/relay_plan_test.cpp
+++ b/test/relay/relay_plan_test.cpp
@@ -49,7 +49,7 @@
     const auto limits = limits_of(plan, tunables);
     cr_assert_eq(limits.executions, 2);
     cr_assert_eq(limits.attempts, 5);
-    cr_assert_not(limits.stale_target_is_free);
+    cr_assert_not(limits.stale_target_retry_is_free);
 }
 
 Test(relay_plan, the_backoff_after_a_refusal_is_longer_if_the_engine_is_loading) {
--- a/test/relay/request_quarantine_test.cpp
+++ b/test/relay/request_quarantine_test.cpp
@@ -42,7 +42,7 @@
         loop.context.restart();
         cr_assert(loop.run([&]() -> runtime::task<void> {
             co_await quarantining_service.handle(std::move(one), writer);
-            co_await loop.scheduler.sleep_for(core::quarantine::crash_slack + 50ms);
+            co_await loop.scheduler.sleep_for(core::quarantine::crash_time_tolerance + 50ms);
         }));
         return writer.status;
     }
--- a/test/relay/selection_regions_test.cpp
+++ b/test/relay/selection_regions_test.cpp
@@ -46,7 +46,7 @@
         declared.stores = std::move(stores);
         core::traffic::pool pool;
         pool.name.value = "p";
-        pool.model = core::traffic::model_engine_figures{8, 90000, 100};
+        pool.model = core::traffic::model_engine_capacity{8, 90000, 100};
         declared.pools = {pool};
         policies.offer(std::move(declared));
         policies.confirm(start);
--- a/test/router/selection/selector_test.cpp
+++ b/test/router/selection/selector_test.cpp
@@ -227,7 +227,7 @@
 }
 
 Test(selector, moves_are_capped_and_freed_by_the_answer) {
-    bench_of_one bench("cost", {.import_limits = {.at_once = 1}});
+    bench_of_one bench("cost", {.import_limits = {.max_concurrent = 1}});
     add_loaded_holder(bench);
     auto query = query_of("r1");
     const auto first = bench.select(query);
@@ -242,7 +242,7 @@
 }
 
 Test(selector, a_refused_request_keeps_no_move) {
-    bench_of_one bench("cost", {.import_limits = {.at_once = 1}});
+    bench_of_one bench("cost", {.import_limits = {.max_concurrent = 1}});
     add_loaded_holder(bench);
     auto query = query_of("r1");
     query.time_left = 1ms;
