--- a/src/ferryroad/coordination/claim/opening.cpp
+++ b/src/ferryroad/coordination/claim/opening.cpp
@@ -24,7 +24,7 @@
         return false;
     }
     const std::int64_t age = at.unix_ms - claimed.claimed_at_ms;
-    return age > base::to_milliseconds(limits.longest_work) || at.known_dead(claimed.owner);
+    return age > base::to_milliseconds(limits.abandoned_after) || at.known_dead(claimed.owner);
 }
 
 claim_opening::claim_opening(claim_terms terms, tunables limits)
--- a/src/ferryroad/coordination/claim/tunables.hpp
+++ b/src/ferryroad/coordination/claim/tunables.hpp
@@ -15,7 +15,7 @@
     /// A claim in progress for longer than this is abandoned: its holder will never close it. Must
     /// exceed the longest request deadline plus the largest difference between the wall clocks of
     /// the processes.
-    base::duration longest_work = std::chrono::minutes(15);
+    base::duration abandoned_after = std::chrono::minutes(15);
     /// Maximum number of conditional writes to make or to close one claim.
     std::uint32_t writes = 6;
     std::uint32_t reads = 6;  ///< Maximum number of reads to make or to close one claim.
--- a/src/ferryroad/coordination/configuration/replica.cpp
+++ b/src/ferryroad/coordination/configuration/replica.cpp
@@ -38,12 +38,12 @@
 
 replica::replica(log_limits limits) : limits_(limits) {}
 
-void replica::on_revision_heard(base::revision revision) {
+void replica::on_revision_announced(base::revision revision) {
     newest_known_ = std::max(newest_known_, revision);
 }
 
 std::vector<applied_change> replica::on_change(change received) {
-    on_revision_heard(received.revision);
+    on_revision_announced(received.revision);
     if (received.revision <= held_.revision) {
         return {};
     }
@@ -58,7 +58,7 @@
 }
 
 std::vector<applied_change> replica::on_snapshot(snapshot received) {
-    on_revision_heard(received.revision);
+    on_revision_announced(received.revision);
     if (received.revision <= held_.revision) {
         return {};
     }
@@ -78,7 +78,7 @@
 }
 
 std::vector<applied_change> replica::on_pull_answer(pull_answer received) {
-    on_revision_heard(received.head);
+    on_revision_announced(received.head);
     std::vector<applied_change> steps;
     if (received.base) {
         steps = on_snapshot(std::move(*received.base));
--- a/src/ferryroad/coordination/configuration/replica.hpp
+++ b/src/ferryroad/coordination/configuration/replica.hpp
@@ -35,7 +35,7 @@
     /// A peer answered a pull.
     std::vector<applied_change> on_pull_answer(pull_answer received);
     /// Some process holds `revision`.
-    void on_revision_heard(base::revision revision);
+    void on_revision_announced(base::revision revision);
 
     /// @param from revision of the requesting replica.
     /// @param confirmed whether this replica's revision was recently confirmed as the newest.
@@ -45,7 +45,7 @@
     const snapshot& held() const { return held_; }
     /// @return the newest revision that any process is known to hold; at least the revision held
     /// here.
-    base::revision heard() const { return newest_known_; }
+    base::revision newest_known() const { return newest_known_; }
     /// @return whether a newer revision than the held one is known.
     bool needs_pull() const { return newest_known_ > held_.revision; }
 
--- a/src/ferryroad/coordination/membership/dissemination.hpp
+++ b/src/ferryroad/coordination/membership/dissemination.hpp
@@ -6,8 +6,8 @@
 #include "ferryroad/base/time.hpp"
 #include "ferryroad/coordination/membership/member_table.hpp"
 #include "ferryroad/coordination/membership/messages.hpp"
-#include "ferryroad/coordination/membership/news_queue.hpp"
 #include "ferryroad/coordination/membership/settings.hpp"
+#include "ferryroad/coordination/membership/update_queue.hpp"
 
 #include <cstddef>
 #include <cstdint>
--- a/src/ferryroad/coordination/membership/news_queue.cpp
+++ b/src/ferryroad/coordination/membership/update_queue.cpp
@@ -1,4 +1,4 @@
-#include "ferryroad/coordination/membership/news_queue.hpp"
+#include "ferryroad/coordination/membership/update_queue.hpp"
 
 #include <utility>
 
--- a/src/ferryroad/coordination/quota/quota_homes.cpp
+++ b/src/ferryroad/coordination/quota/quota_homes.cpp
@@ -40,7 +40,7 @@
 void quota_homes::silent(const base::router_name& home, base::monotonic_time now) {
     exclusion_state& one = m_exclusions[home];
     ++one.unanswered_asks;
-    if (one.unanswered_asks >= m_tunables.silent_asks) {
+    if (one.unanswered_asks >= m_tunables.exclude_after_unanswered) {
         one.last_exclusion = std::clamp(2 * one.last_exclusion, m_tunables.first_exclusion,
                                         m_tunables.longest_exclusion);
         one.excluded_until = now + one.last_exclusion;
--- a/src/ferryroad/coordination/quota/quota_homes.hpp
+++ b/src/ferryroad/coordination/quota/quota_homes.hpp
@@ -21,7 +21,7 @@
     /// Number of consecutive asks without an answer after which a router is excluded. Single
     /// datagrams do get lost, and two home routers for one tenant at the same time may grant too
     /// much.
-    std::uint32_t silent_asks = 3;
+    std::uint32_t exclude_after_unanswered = 3;
     /// First exclusion of a router: about the time a process takes to restart.
     base::duration first_exclusion = std::chrono::seconds(2);
     /// The exclusion doubles each time the router doesn't answer again, up to this.
--- a/src/ferryroad/coordination/quota/quota_ledger.cpp
+++ b/src/ferryroad/coordination/quota/quota_ledger.cpp
@@ -9,7 +9,7 @@
     account& tenant_account = account_of(ask, now);
     record_ask(tenant_account, asker, now);
     if (ask.known_askers >= tenant_account.reported_askers ||
-        now - tenant_account.reported_at > m_tunables.told_for) {
+        now - tenant_account.reported_at > m_tunables.report_valid_for) {
         tenant_account.reported_askers = ask.known_askers;
         tenant_account.reported_at = now;
     }
@@ -65,13 +65,13 @@
 
 double quota_ledger::active_part(account& tenant_account, base::monotonic_time now) const {
     std::erase_if(tenant_account.askers, [&](const auto& entry) {
-        return now - entry.second.asked_at > m_tunables.remembered;
+        return now - entry.second.asked_at > m_tunables.asker_retention;
     });
     std::size_t present = 0;
     for (const auto& [name, history] : tenant_account.askers) {
         present += is_missing(history, now) ? 0 : 1;
     }
-    const bool report_valid = now - tenant_account.reported_at <= m_tunables.told_for;
+    const bool report_valid = now - tenant_account.reported_at <= m_tunables.report_valid_for;
     std::size_t all = std::max<std::size_t>(tenant_account.askers.size(),
                                             report_valid ? tenant_account.reported_askers : 0);
     if (now < m_startup_until) {
@@ -100,7 +100,7 @@
     std::erase_if(m_accounts, [&](const auto& entry) {
         const auto& askers = entry.second.askers;
         return std::all_of(askers.begin(), askers.end(), [&](const auto& asker) {
-            return now - asker.second.asked_at > m_tunables.remembered;
+            return now - asker.second.asked_at > m_tunables.asker_retention;
         });
     });
 }
--- a/src/ferryroad/coordination/quota/quota_ledger.hpp
+++ b/src/ferryroad/coordination/quota/quota_ledger.hpp
@@ -31,9 +31,9 @@
     double interval_weight = 0.1;
     /// How long the part of a missing router is withheld from the others: a network partition lasts
     /// longer than a restart.
-    base::duration remembered = std::chrono::seconds(60);
+    base::duration asker_retention = std::chrono::seconds(60);
     /// How long the number of routers counted by another ledger is relied on.
-    base::duration told_for = std::chrono::seconds(30);
+    base::duration report_valid_for = std::chrono::seconds(30);
     /// What a ledger that takes over a tenant may grant at once, in seconds at the rate: the
     /// previous ledger may have granted the burst a moment ago.
     double takeover_seconds = 0.1;
@@ -68,7 +68,7 @@
                          base::monotonic_time now);
     /// @return number of tenants counted here.
     std::size_t size() const { return m_accounts.size(); }
-    /// Removes tenants that no router has asked for during `remembered`. Must be called
+    /// Removes tenants that no router has asked for during `asker_retention`. Must be called
     /// periodically.
     void reclaim(base::monotonic_time now);
 
--- a/src/ferryroad/coordination/reading/source_reach.cpp
+++ b/src/ferryroad/coordination/reading/source_reachability.cpp
@@ -1,10 +1,10 @@
-#include "ferryroad/coordination/reading/source_reach.hpp"
+#include "ferryroad/coordination/reading/source_reachability.hpp"
 
 #include <algorithm>
 
 namespace ferryroad::coordination::reading {
 
-void source_reach::declare(const std::vector<tree_member>& members) {
+void source_reachability::declare(const std::vector<tree_member>& members) {
     const std::size_t gone = std::erase_if(m_routers, [&](const auto& entry) {
         return std::none_of(members.begin(), members.end(),
                             [&](const tree_member& one) { return one.name == entry.first; });
@@ -12,7 +12,7 @@
     m_revision += gone;
 }
 
-bool source_reach::is_present(const source& from, base::monotonic_time now) const {
+bool source_reachability::is_available(const source& from, base::monotonic_time now) const {
     if (!from) {
         return now >= m_owner.until;
     }
@@ -20,7 +20,7 @@
     return known == m_routers.end() || now >= known->second.until;
 }
 
-void source_reach::answered(const source& from) {
+void source_reachability::answered(const source& from) {
     if (from) {
         m_revision += m_routers.erase(*from);
     } else {
@@ -28,7 +28,7 @@
     }
 }
 
-void source_reach::failed(const source& from, reading_role role, base::monotonic_time now) {
+void source_reachability::failed(const source& from, reading_role role, base::monotonic_time now) {
     const double jitter = 0.75 + 0.5 * m_random.unit();
     if (from) {
         ++m_revision;
@@ -41,14 +41,14 @@
     extend(m_owner, m_settings.first_owner_pause, longest, now, jitter);
 }
 
-void source_reach::extend(exclusion& one, base::duration first, base::duration longest,
-                          base::monotonic_time now, double jitter) {
+void source_reachability::extend(exclusion& one, base::duration first, base::duration longest,
+                                 base::monotonic_time now, double jitter) {
     const base::duration pause = std::min(std::max(one.next, first), longest);
     one.until = now + base::from_seconds(base::to_seconds(pause) * jitter);
     one.next = 2 * pause;
 }
 
-base::monotonic_time source_reach::next_readmission(base::monotonic_time now) const {
+base::monotonic_time source_reachability::next_readmission(base::monotonic_time now) const {
     base::monotonic_time next = base::monotonic_time::max();
     for (const auto& [name, one] : m_routers) {
         next = one.until > now ? std::min(next, one.until) : next;
@@ -56,7 +56,7 @@
     return next;
 }
 
-source source_reach::first_readmitted(const std::vector<tree_member>& others) const {
+source source_reachability::first_readmitted(const std::vector<tree_member>& others) const {
     source first;
     base::monotonic_time earliest = m_owner.until;
     for (const tree_member& one : others) {
--- a/src/ferryroad/coordination/reading/source_reach.hpp
+++ b/src/ferryroad/coordination/reading/source_reachability.hpp
@@ -20,8 +20,8 @@
 /// A router, or the owner itself if empty.
 using source = std::optional<base::router_name>;
 
-/// Settings of `source_reach`.
-struct reach_settings {
+/// Settings of `source_reachability`.
+struct reachability_settings {
     /// First exclusion of a router that didn't answer; doubles each time.
     base::duration first_exclusion = std::chrono::seconds(2);
     /// Upper limit of that exclusion. Longer than most restarts; a router that is gone for good
@@ -41,17 +41,17 @@
 enum class reading_role { reader, other };
 
 /// Tracks the reachability of all sources. Not thread-safe.
-class source_reach {
+class source_reachability {
   public:
     /// @param random must outlive this object.
-    source_reach(reach_settings settings, base::random_source& random)
+    source_reachability(reachability_settings settings, base::random_source& random)
         : m_settings(settings), m_random(random) {}
 
     /// Drops the state of routers that are not among `members`.
     void declare(const std::vector<tree_member>& members);
 
     /// @return whether the source is not excluded and may be asked now.
-    bool is_present(const source& from, base::monotonic_time now) const;
+    bool is_available(const source& from, base::monotonic_time now) const;
     /// The source answered; it is no longer excluded.
     void answered(const source& from);
     /// The source didn't answer and is excluded for a while.
@@ -73,7 +73,7 @@
     static void extend(exclusion& one, base::duration first, base::duration longest,
                        base::monotonic_time now, double jitter);
 
-    reach_settings m_settings;
+    reachability_settings m_settings;
     base::random_source& m_random;
     std::map<base::router_name, exclusion> m_routers;
     exclusion m_owner;
--- a/src/ferryroad/coordination/reading/source_selector.cpp
+++ b/src/ferryroad/coordination/reading/source_selector.cpp
@@ -6,8 +6,8 @@
 
 namespace ferryroad::coordination::reading {
 
-source_selector::source_selector(tree_member self, selector_settings settings, source_reach& reach,
-                                 base::random_source& random)
+source_selector::source_selector(tree_member self, selector_settings settings,
+                                 source_reachability& reach, base::random_source& random)
     : m_self(std::move(self)), m_settings(settings), m_reach(reach), m_random(random) {}
 
 void source_selector::declare(const std::vector<tree_member>& members) {
@@ -59,7 +59,7 @@
                                 base::monotonic_time now) const {
     const auto known = from ? m_stale_until.find(*from) : m_stale_until.end();
     const bool is_stale = known != m_stale_until.end() && now < known->second;
-    return m_reach.is_present(from, now) &&
+    return m_reach.is_available(from, now) &&
            !(rule == exclusion_rule::unreachable_or_stale && is_stale);
 }
 
@@ -113,7 +113,7 @@
 }
 
 std::size_t source_selector::owner_readers(base::monotonic_time now) const {
-    const bool soon_stale = age(now) + m_settings.call_timeout > m_settings.oldest_copy;
+    const bool soon_stale = age(now) + m_settings.call_timeout > m_settings.max_copy_age;
     return soon_stale ? m_settings.fallback_readers : m_settings.tree.readers;
 }
 
@@ -121,7 +121,7 @@
     if (!m_as_of || m_rank_position < owner_readers(now)) {
         return true;
     }
-    const base::duration stale_for = age(now) - m_settings.oldest_copy;
+    const base::duration stale_for = age(now) - m_settings.max_copy_age;
     if (stale_for > m_settings.isolated_after && m_unanswered_calls >= m_settings.isolated_calls) {
         return true;
     }
@@ -162,7 +162,7 @@
     m_unanswered_calls = 0;
     const bool was_current = is_current(now);
     m_as_of = std::max(m_as_of.value_or(as_of), as_of);
-    if (now - as_of > m_settings.oldest_copy) {
+    if (now - as_of > m_settings.max_copy_age) {
         exclude_stale(from, now);
         return;
     }
@@ -193,11 +193,11 @@
     }
     ++m_unanswered_calls;
     const bool next_timeout_too_late =
-        !m_as_of || age(now) + m_settings.call_timeout > m_settings.oldest_copy;
+        !m_as_of || age(now) + m_settings.call_timeout > m_settings.max_copy_age;
     if (!next_timeout_too_late) {
         return;  // The router that takes its place in the tree may not answer either.
     }
-    if (m_reach.is_present(std::nullopt, now) && may_read_owner(now)) {
+    if (m_reach.is_available(std::nullopt, now) && may_read_owner(now)) {
         switch_to(std::nullopt, now);
         return;
     }
--- a/src/ferryroad/coordination/reading/source_selector.hpp
+++ b/src/ferryroad/coordination/reading/source_selector.hpp
@@ -3,9 +3,9 @@
 /// another router, by the router's place in the reading tree and by the observed state of the
 /// sources.
 ///
-/// A source that doesn't answer is excluded for a while (`source_reach`), and another one takes its
-/// place in the tree. A source whose copy is stale is excluded for a shorter time. While this
-/// router's own copy is stale, it asks its parent in the tree, then the owner, and then other
+/// A source that doesn't answer is excluded for a while (`source_reachability`), and another one
+/// takes its place in the tree. A source whose copy is stale is excluded for a shorter time. While
+/// this router's own copy is stale, it asks its parent in the tree, then the owner, and then other
 /// routers. So a router that still gets answers from the owner is found soon, however few there
 /// are, and is kept as the source for a while.
 ///
@@ -25,7 +25,7 @@
 #include "ferryroad/base/random.hpp"
 #include "ferryroad/base/time.hpp"
 #include "ferryroad/coordination/reading/reading_tree.hpp"
-#include "ferryroad/coordination/reading/source_reach.hpp"
+#include "ferryroad/coordination/reading/source_reachability.hpp"
 
 #include <chrono>
 #include <cstddef>
@@ -40,7 +40,7 @@
 struct selector_settings {
     tree_settings tree;
     /// A copy older than this is stale: too old to rely on a single source.
-    base::duration oldest_copy = std::chrono::milliseconds(2000);
+    base::duration max_copy_age = std::chrono::milliseconds(2000);
     /// How long a router whose copy was stale is excluded.
     base::duration old_copy_pause = std::chrono::milliseconds(1000);
     /// How long a temporary source is kept: one found while the parent in the tree was stale, or
@@ -66,13 +66,13 @@
 class source_selector {
   public:
     /// @param reach, random must outlive the selector.
-    source_selector(tree_member self, selector_settings settings, source_reach& reach,
+    source_selector(tree_member self, selector_settings settings, source_reachability& reach,
                     base::random_source& random);
 
     /// Sets the list of routers that are present, with or without this one.
     void declare(const std::vector<tree_member>& members);
     /// Sets the age above which a copy is stale.
-    void change_oldest(base::duration oldest_copy) { m_settings.oldest_copy = oldest_copy; }
+    void set_max_copy_age(base::duration max_copy_age) { m_settings.max_copy_age = max_copy_age; }
 
     /// @return the source to take a copy from now.
     source choose(base::monotonic_time now);
@@ -106,7 +106,7 @@
     std::vector<tree_member> usable(exclusion_rule rule, base::monotonic_time now) const;
     bool is_usable(const source& from, exclusion_rule rule, base::monotonic_time now) const;
     bool is_current(base::monotonic_time now) const {
-        return m_as_of && now - *m_as_of <= m_settings.oldest_copy;
+        return m_as_of && now - *m_as_of <= m_settings.max_copy_age;
     }
     source choose_while_current(base::monotonic_time now) const;
     source choose_while_stale(base::monotonic_time now);
@@ -126,7 +126,7 @@
 
     tree_member m_self;
     selector_settings m_settings;
-    source_reach& m_reach;
+    source_reachability& m_reach;
     base::random_source& m_random;
     std::vector<tree_member> m_others;  ///< Ordered by rank, highest first.
     std::size_t m_rank_position = 0;    ///< Number of routers with higher ranks.
--- a/src/ferryroad/coordination/rollout/naming_record.hpp
+++ b/src/ferryroad/coordination/rollout/naming_record.hpp
@@ -14,19 +14,20 @@
 namespace ferryroad::coordination::rollout {
 
 /// Milliseconds of the steady clock of the store that keeps the record.
-using keeper_milliseconds = std::int64_t;
+using store_clock_milliseconds = std::int64_t;
 
 /// A named version of a model's weights.
 struct named_weights {
     std::uint64_t version = 0;
-    keeper_milliseconds accepted_after = 0;  ///< Earliest time at which it may have been named.
+    store_clock_milliseconds accepted_after =
+        0;  ///< Earliest time at which it may have been named.
 
     friend bool operator==(const named_weights&, const named_weights&) = default;
 };
 
 /// All weights named up to `confirmed_at`; newer weights were named later.
 struct naming_record {
-    keeper_milliseconds confirmed_at = 0;
+    store_clock_milliseconds confirmed_at = 0;
     std::map<std::string, std::vector<named_weights>> models;  ///< Versions in ascending order.
 
     friend bool operator==(const naming_record&, const naming_record&) = default;
--- a/src/ferryroad/coordination/rollout/weights_rollout.cpp
+++ b/src/ferryroad/coordination/rollout/weights_rollout.cpp
@@ -266,7 +266,7 @@
                            rollout_steps& steps) {
     if (state.unannounced) {
         state.unannounced = false;
-        steps.coming.push_back({seen.name, seen.model, state.version});
+        steps.upcoming.push_back({seen.name, seen.model, state.version});
     }
     if (state.call_under_way || now < state.next_call) {
         return;
@@ -278,7 +278,7 @@
     // Not announced for an engine with an unanswered order: it serves until the order is carried
     // out.
     if (state.stage == phase::asking && !state.unanswered) {
-        steps.coming.push_back({seen.name, seen.model, wanted(seen.model)});
+        steps.upcoming.push_back({seen.name, seen.model, wanted(seen.model)});
     }
     state.call_under_way = true;
     steps.reports.push_back({seen.name});
@@ -350,7 +350,7 @@
         state.unanswered = false;
         state.stage = phase::loading;
         state.since = now;
-        state.next_call = now + m_tunables.first_look;
+        state.next_call = now + m_tunables.first_poll_delay;
         return;
     }
     if (answer == order_answer::lost) {
--- a/src/ferryroad/coordination/rollout/weights_rollout.hpp
+++ b/src/ferryroad/coordination/rollout/weights_rollout.hpp
@@ -60,19 +60,19 @@
 };
 
 /// The engine will be ordered to load a version as soon as it has reported.
-struct coming_load {
+struct upcoming_load {
     base::engine_name engine;
     std::string model;
     std::uint64_t version = 0;
 
-    friend bool operator==(const coming_load&, const coming_load&) = default;
+    friend bool operator==(const upcoming_load&, const upcoming_load&) = default;
 };
 
 /// Steps to carry out.
 struct rollout_steps {
     std::vector<ask_report> reports;
     std::vector<send_order> orders;
-    std::vector<coming_load> coming;
+    std::vector<upcoming_load> upcoming;
 };
 
 /// Outcome of an order.
@@ -90,7 +90,7 @@
     /// Each engine is sent an order within this time after its weights became outdated.
     base::duration order_within = std::chrono::milliseconds(6000);
     /// Time from an accepted order to the first poll of its completion.
-    base::duration first_look = std::chrono::milliseconds(600);
+    base::duration first_poll_delay = std::chrono::milliseconds(600);
     /// Time between further polls.
     base::duration look_period = std::chrono::milliseconds(150);
     /// Time from a refusal or a lost answer to the next poll of the engine.
@@ -156,7 +156,7 @@
         /// An order got no answer and no report has shown its outcome yet; it may be carried out at
         /// any time.
         bool unanswered = false;
-        /// It is loading and was not listed in `rollout_steps::coming` yet.
+        /// It is loading and was not listed in `rollout_steps::upcoming` yet.
         bool unannounced = false;
         std::uint64_t version = 0;  ///< Version that it is brought to.
         std::uint64_t orders_taken = 0;
--- a/src/ferryroad/quotas/quota_service.cpp
+++ b/src/ferryroad/quotas/quota_service.cpp
@@ -84,7 +84,7 @@
 void quota_service::learn_askers(const base::tenant_name& tenant, std::uint32_t count) {
     const base::monotonic_time now = m_scheduler.now();
     told_askers& told = m_told_askers[tenant];
-    if (count >= told.count || now - told.at > m_ledger.tunables().told_for) {
+    if (count >= told.count || now - told.at > m_ledger.tunables().report_valid_for) {
         told = {count, now};
     }
 }
@@ -98,7 +98,7 @@
     m_ledger.reclaim(now);
     m_own_parts.reclaim(now);
     std::erase_if(m_told_askers, [&](const auto& entry) {
-        return now - entry.second.at > m_ledger.tunables().remembered;
+        return now - entry.second.at > m_ledger.tunables().asker_retention;
     });
 }
 
--- a/src/ferryroad/relay/naming_record_sync.cpp
+++ b/src/ferryroad/relay/naming_record_sync.cpp
@@ -25,19 +25,19 @@
     m_known = true;
 }
 
-rollout::keeper_milliseconds owner_clock::to_owner_earliest(base::monotonic_time local) const {
+rollout::store_clock_milliseconds owner_clock::to_owner_earliest(base::monotonic_time local) const {
     return base::to_milliseconds(local.time_since_epoch() + m_min_offset);
 }
 
-base::monotonic_time owner_clock::to_local_earliest(rollout::keeper_milliseconds owner) const {
+base::monotonic_time owner_clock::to_local_earliest(rollout::store_clock_milliseconds owner) const {
     return base::monotonic_time(std::chrono::milliseconds(owner) - m_max_offset);
 }
 
-rollout::keeper_milliseconds owner_clock::to_owner_latest(base::monotonic_time local) const {
+rollout::store_clock_milliseconds owner_clock::to_owner_latest(base::monotonic_time local) const {
     return base::to_milliseconds(local.time_since_epoch() + m_max_offset) + 1;
 }
 
-base::monotonic_time owner_clock::to_local_latest(rollout::keeper_milliseconds owner) const {
+base::monotonic_time owner_clock::to_local_latest(rollout::store_clock_milliseconds owner) const {
     return base::monotonic_time(std::chrono::milliseconds(owner) - m_min_offset);
 }
 
--- a/src/ferryroad/relay/naming_record_sync.hpp
+++ b/src/ferryroad/relay/naming_record_sync.hpp
@@ -28,13 +28,17 @@
     /// @return whether `observe` has been called. Precondition of the conversions below.
     bool known() const { return m_known; }
     /// @return the earliest time on the owner's clock that `local` can correspond to.
-    coordination::rollout::keeper_milliseconds to_owner_earliest(base::monotonic_time local) const;
+    coordination::rollout::store_clock_milliseconds to_owner_earliest(
+        base::monotonic_time local) const;
     /// @return the earliest time on this process's clock that `owner` can correspond to.
-    base::monotonic_time to_local_earliest(coordination::rollout::keeper_milliseconds owner) const;
+    base::monotonic_time to_local_earliest(
+        coordination::rollout::store_clock_milliseconds owner) const;
     /// @return the latest time on the owner's clock that `local` can correspond to.
-    coordination::rollout::keeper_milliseconds to_owner_latest(base::monotonic_time local) const;
+    coordination::rollout::store_clock_milliseconds to_owner_latest(
+        base::monotonic_time local) const;
     /// @return the latest time on this process's clock that `owner` can correspond to.
-    base::monotonic_time to_local_latest(coordination::rollout::keeper_milliseconds owner) const;
+    base::monotonic_time to_local_latest(
+        coordination::rollout::store_clock_milliseconds owner) const;
 
   private:
     bool m_known = false;
--- a/src/ferryroad/relay/release_service.cpp
+++ b/src/ferryroad/relay/release_service.cpp
@@ -21,7 +21,7 @@
 
 coordination::quota::homes_tunables coordinator_choice_tunables() {
     coordination::quota::homes_tunables tunables;
-    tunables.silent_asks = max_unanswered_reports;
+    tunables.exclude_after_unanswered = max_unanswered_reports;
     return tunables;
 }
 
--- a/src/ferryroad/relay/rollout_service.hpp
+++ b/src/ferryroad/relay/rollout_service.hpp
@@ -108,8 +108,8 @@
     void step(const std::vector<coordination::rollout::engine_view>& engines) {
         const base::monotonic_time now = m_ports.scheduler.now();
         const auto steps = m_rollout.next(engines, now);
-        for (const auto& coming : steps.coming) {
-            announce_loading(coming, now);
+        for (const auto& upcoming : steps.upcoming) {
+            announce_loading(upcoming, now);
         }
         for (const auto& wanted : steps.reports) {
             m_ports.scheduler.spawn(component, request_report(wanted.engine));
@@ -125,14 +125,15 @@
 
     /// Runs before the order is sent, so that routers send no requests that the loading engine
     /// would refuse.
-    void announce_loading(const coordination::rollout::coming_load& coming,
+    void announce_loading(const coordination::rollout::upcoming_load& upcoming,
                           base::monotonic_time now) {
         const double load = base::to_seconds(m_rollout.load_time());
         const base::duration ready_in =
             m_settings.order_lead_time + base::from_seconds(load * m_settings.load_time_factor);
-        m_ports.registry.expect_weights(coming.engine, coming.model, coming.version,
+        m_ports.registry.expect_weights(upcoming.engine, upcoming.model, upcoming.version,
                                         now + ready_in);
-        m_unannounced.loading.push_back({coming.engine, coming.model, coming.version, ready_in});
+        m_unannounced.loading.push_back(
+            {upcoming.engine, upcoming.model, upcoming.version, ready_in});
     }
 
     void send_announcements() {
--- a/src/ferryroad/relay/shared_feed.hpp
+++ b/src/ferryroad/relay/shared_feed.hpp
@@ -36,14 +36,14 @@
     base::duration min_owner_interval{};
     /// A copy that is older is behind: its router turns to another source and, soon after, to the
     /// owner.
-    base::duration oldest = coordination::reading::selector_settings().oldest_copy;
+    base::duration oldest = coordination::reading::selector_settings().max_copy_age;
 
     friend bool operator==(const table_terms&, const table_terms&) = default;
 };
 
 struct shared_feed_settings {
     coordination::reading::selector_settings sources;
-    coordination::reading::reach_settings reach;
+    coordination::reading::reachability_settings reach;
     core::topology::zone_map zones;  ///< Zones and the regions they belong to.
     /// Longest time for which another router may hold a call until there are changes. It is short,
     /// so that a router that no longer answers is detected well within the time in which changes
@@ -143,7 +143,7 @@
     void expect(const std::string& name, table_terms requirements) {
         table_state& table = state_of(name);
         table.requirements = requirements;
-        table.sources.change_oldest(requirements.oldest);
+        table.sources.set_max_copy_age(requirements.oldest);
     }
 
     /// @return whether this router currently reads the owner, for itself and for other routers.
@@ -207,7 +207,7 @@
                                                        m_reach, m_scheduler.random());
         sources.declare(m_members);
         table_terms requirements;
-        requirements.oldest = m_settings.sources.oldest_copy;
+        requirements.oldest = m_settings.sources.max_copy_age;
         return m_tables.emplace(name, table_state{std::move(sources), requirements}).first->second;
     }
 
@@ -280,7 +280,7 @@
                                                   base::duration hold, read_request wanted,
                                                   base::monotonic_time started_at) {
         std::erase_if(contacts, [&](const peer_address& one) {
-            return !m_reach.is_present(one.name, m_scheduler.now());
+            return !m_reach.is_available(one.name, m_scheduler.now());
         });
         if (contacts.empty()) {
             co_return feed_fault::unavailable;
@@ -460,7 +460,7 @@
                                                   table_state& table,
                                                   base::monotonic_time started_at) {
         const std::uint64_t known = table.version;
-        const bool owner_answers = m_reach.is_present(std::nullopt, m_scheduler.now());
+        const bool owner_answers = m_reach.is_available(std::nullopt, m_scheduler.now());
         runtime::log(runtime::log_level::info, component, "another router announced a large change",
                      {{"table", wanted.table},
                       {"told_by", outgoing.to.value},
@@ -577,7 +577,7 @@
     peer::transport& m_transport;
     peer_address m_self;
     shared_feed_settings m_settings;
-    coordination::reading::source_reach m_reach;
+    coordination::reading::source_reachability m_reach;
     std::vector<coordination::reading::tree_member> m_members;
     std::map<base::router_name, base::endpoint> m_addresses;
     std::map<std::string, table_state> m_tables;
--- a/src/ferryroad/router/configuration/configuration_service.cpp
+++ b/src/ferryroad/router/configuration/configuration_service.cpp
@@ -56,7 +56,7 @@
     const auto pulled = co_await pull_from_table();
     const base::revision held = replica_.revision();
     if (held != command.revision || replica_.needs_pull()) {
-        const base::revision newest = replica_.heard();
+        const base::revision newest = replica_.newest_known();
         co_return configuration_error{configuration_error_code::revision_conflict,
                                       "revision " + std::to_string(held.value) +
                                           " is held here, and revision " +
@@ -86,7 +86,7 @@
 }
 
 void configuration_service::observe_revision(base::revision revision) {
-    replica_.on_revision_heard(revision);
+    replica_.on_revision_announced(revision);
     pull_if_behind();
 }
 
@@ -114,8 +114,8 @@
 }
 
 void configuration_service::note_head(base::revision head, base::monotonic_time asked_at) {
-    replica_.on_revision_heard(head);
-    confirmation_.on_head_known(replica_.heard(), asked_at, replica_.revision());
+    replica_.on_revision_announced(head);
+    confirmation_.on_head_known(replica_.newest_known(), asked_at, replica_.revision());
 }
 
 void configuration_service::pull_if_behind() {
--- a/test/coordination/claim/claim_test.cpp
+++ b/test/coordination/claim/claim_test.cpp
@@ -47,7 +47,7 @@
 
 const std::vector<row>& rows() {
     using enum record_state;
-    const std::int64_t past_work = base::to_milliseconds(limits.longest_work) + 1;
+    const std::int64_t past_work = base::to_milliseconds(limits.abandoned_after) + 1;
     const std::int64_t past_retention = base::to_milliseconds(limits.retention) + 1;
     static auto foreign = other_record(finished);
     foreign.content_digest = "another";
--- a/test/coordination/configuration/replica_test.cpp
+++ b/test/coordination/configuration/replica_test.cpp
@@ -38,7 +38,7 @@
 
 void assert_follows(const replica& held, const model_table& table) {
     RC_ASSERT(held.held().content == table.state_at(held.revision()));
-    RC_ASSERT(held.heard() >= held.revision());
+    RC_ASSERT(held.newest_known() >= held.revision());
 }
 
 /// Checks that each step of the replica starts at the revision where the step before it ended.
@@ -107,7 +107,7 @@
         }
         for (std::size_t index = 1; index < routers.size(); ++index) {
             replica& router = routers[index];
-            router.on_revision_heard(routers[index - 1].revision());
+            router.on_revision_announced(routers[index - 1].revision());
             const pull_answer answer = routers[index - 1].answer_pull(router.revision(), false);
             router.on_pull_answer(answer);
             RC_ASSERT(!router.needs_pull());
--- a/test/coordination/reading/reading_simulation_test.cpp
+++ b/test/coordination/reading/reading_simulation_test.cpp
@@ -151,7 +151,7 @@
         tree_member self;
         base::duration clock_offset{};
         std::unique_ptr<table_mirror> copy;
-        std::unique_ptr<source_reach> reach;
+        std::unique_ptr<source_reachability> reach;
         std::unique_ptr<source_selector> sources;
         std::uint64_t process_number = 0;
         /// Number of the current call; answers to earlier calls are dropped.
@@ -200,7 +200,7 @@
         one.running = true;
         one.seen_version = 0;
         one.copy = std::make_unique<table_mirror>();
-        one.reach = std::make_unique<source_reach>(reach_settings{}, m_random);
+        one.reach = std::make_unique<source_reachability>(reachability_settings{}, m_random);
         one.sources =
             std::make_unique<source_selector>(one.self, selector_settings{}, *one.reach, m_random);
         one.sources->declare(m_members);
@@ -242,7 +242,7 @@
     /// @return how long the peer may delay its answer. As in the router, a call ends about when the
     /// copy becomes stale.
     base::duration hold_of(const router& one) const {
-        const base::duration left = selector_settings{}.oldest_copy - age(index_of(one.self.name));
+        const base::duration left = selector_settings{}.max_copy_age - age(index_of(one.self.name));
         return left < 0ms ? 0ms : std::clamp(left - call_margin, shortest_hold, longest_hold);
     }
 
@@ -318,7 +318,7 @@
         }
         one.copy->confirm({std::max(answer->version, one.copy->version()), as_of, {}});
         check(one);
-        const bool is_old = age(index_of(one.self.name)) > selector_settings{}.oldest_copy;
+        const bool is_old = age(index_of(one.self.name)) > selector_settings{}.max_copy_age;
         in_process(one, from ? (is_old ? 150ms : 20ms) : pace, [this, &one] { follow(one); });
     }
 
--- a/test/coordination/reading/source_selector_test.cpp
+++ b/test/coordination/reading/source_selector_test.cpp
@@ -23,7 +23,7 @@
 
 struct fixture {
     base::seeded_random random{7};
-    source_reach reach{{}, random};
+    source_reachability reach{{}, random};
     std::vector<tree_member> members;
     tree_member self;
 
@@ -209,7 +209,7 @@
 Test(source_selector, a_copy_counts_as_current_by_its_own_age) {
     fixture with(false);
     source_selector selector = with.selector();
-    const base::duration oldest = selector_settings{}.oldest_copy;
+    const base::duration oldest = selector_settings{}.max_copy_age;
     const source first = selector.choose(start);
     // All its answers from now on are complete only as of `start`.
     selector.answered(first, start, start + oldest - 10ms);
--- a/test/coordination/rollout/unanswered_orders_test.cpp
+++ b/test/coordination/rollout/unanswered_orders_test.cpp
@@ -254,21 +254,21 @@
     const base::engine_name name("e0");
     const std::vector<engine_view> seen = {{name, model, 1, 0}};
     rollout.want(model, 2);
-    cr_assert_eq(rollout.next(seen, start).coming.size(), 1);
+    cr_assert_eq(rollout.next(seen, start).upcoming.size(), 1);
     rollout.reported(name, {1, 0, false}, start);
     cr_assert_eq(rollout.next(seen, start).orders.size(), 1);
     rollout.ordered(name, order_answer::lost, start + 700ms);
     const auto asked = rollout.next(seen, start + 1s);
     cr_assert_eq(asked.reports.size(), 1);
-    cr_assert(asked.coming.empty());
+    cr_assert(asked.upcoming.empty());
     rollout.reported(name, {1, 0, false}, start + 1s);
     const auto again = rollout.next(seen, start + 1s);
     cr_assert_eq(again.orders.size(), 1);
     cr_assert_eq(again.orders[0].expected_orders, 0);
-    cr_assert(again.coming.empty());
+    cr_assert(again.upcoming.empty());
     rollout.ordered(name, order_answer::accepted, start + 1s);
-    cr_assert_eq(rollout.next(seen, start + 1s).coming.size(), 1);
-    cr_assert(rollout.next(seen, start + 1s).coming.empty());
+    cr_assert_eq(rollout.next(seen, start + 1s).upcoming.size(), 1);
+    cr_assert(rollout.next(seen, start + 1s).upcoming.empty());
 }
 
 Test(unanswered_orders, a_late_order_counts_as_loading_once_a_report_shows_it) {
--- a/test/relay/rollout_order_arrival_test.cpp
+++ b/test/relay/rollout_order_arrival_test.cpp
@@ -65,7 +65,7 @@
         rollout_settings all;
         all.holder = "router";
         all.step_interval = 2ms;
-        all.rollout.first_look = 2ms;
+        all.rollout.first_poll_delay = 2ms;
         all.rollout.look_period = 2ms;
         return all;
     }
--- a/test/relay/rollout_service_test.cpp
+++ b/test/relay/rollout_service_test.cpp
@@ -53,7 +53,7 @@
         rollout_settings all;
         all.holder = "router-1";
         all.step_interval = 2ms;
-        all.rollout.first_look = 2ms;
+        all.rollout.first_poll_delay = 2ms;
         all.rollout.look_period = 2ms;
         return all;
     }
--- a/test/relay/shared_feed_test.cpp
+++ b/test/relay/shared_feed_test.cpp
@@ -122,7 +122,7 @@
     settings.poll_interval = 1ms;
     settings.contacts_settle_time = 20ms;
     settings.old_copy_pause = 2ms;
-    settings.sources.oldest_copy = 100ms;
+    settings.sources.max_copy_age = 100ms;
     settings.sources.old_copy_pause = 20ms;
     settings.reach.first_owner_pause = 10ms;
     settings.reach.longest_reader_pause = 20ms;
--- a/test/router/claims/table_claim_registry_test.cpp
+++ b/test/router/claims/table_claim_registry_test.cpp
@@ -209,7 +209,7 @@
 Test(table_claim_registry, a_claim_at_work_too_long_closes_the_key) {
     two_routers run;
     cr_assert_eq(run.answer(run.first, "a1"), claim_answer::granted);
-    run.pass(coordination::claim::tunables{}.longest_work);
+    run.pass(coordination::claim::tunables{}.abandoned_after);
     cr_assert_eq(run.answer(run.second, "a2"), claim_answer::finished);
     run.finish(run.first, "a1", done());
     const auto repeated = run.claim(run.second, "a3");
