--- a/src/ferryroad/relay/crash_exchange.cpp
+++ b/src/ferryroad/relay/crash_exchange.cpp
@@ -77,7 +77,7 @@
 
 // ---- Receiving ----
 
-void crash_exchange::take(const base::endpoint& from, std::string_view bytes) {
+void crash_exchange::handle_datagram(const base::endpoint& from, std::string_view bytes) {
     const auto report = peer::decode_crash_news(bytes);
     if (!report) {
         ++m_malformed;
@@ -113,11 +113,11 @@
     }
 }
 
-void crash_exchange::take_row(std::string value) {
+void crash_exchange::queue_row(std::string value) {
     m_pending_rows.push_back(std::move(value));
 }
 
-void crash_exchange::rows_confirmed() {
+void crash_exchange::apply_queued_rows() {
     if (!m_ports.clock.known()) {
         return;
     }
--- a/src/ferryroad/relay/crash_exchange.hpp
+++ b/src/ferryroad/relay/crash_exchange.hpp
@@ -66,12 +66,12 @@
     void set_routers(const std::vector<peer_address>& present) { m_routers = present; }
     /// Handles a datagram whose header identifies it as a crash message; counts it where it is
     /// malformed.
-    void take(const base::endpoint& from, std::string_view bytes);
-    /// Stores the value of a row until `rows_confirmed` is called while the clock of the table's
+    void handle_datagram(const base::endpoint& from, std::string_view bytes);
+    /// Stores the value of a row until `apply_queued_rows` is called while the clock of the table's
     /// owner is known.
-    void take_row(std::string value);
+    void queue_row(std::string value);
     /// Applies the stored rows, unless the clock of the table's owner is still unknown.
-    void rows_confirmed();
+    void apply_queued_rows();
 
     /// @return the number of datagrams and rows that could not be decoded.
     std::uint64_t malformed() const { return m_malformed; }
--- a/src/ferryroad/relay/peer_exchange.cpp
+++ b/src/ferryroad/relay/peer_exchange.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-peer_group_tunables group_tunables_of(const exchange_settings& settings) {
+peer_group_tunables group_tunables_of(const peer_exchange_settings& settings) {
     peer_group_tunables tunables;
     tunables.zones = settings.zones;
     return tunables;
@@ -19,7 +19,7 @@
 
 peer_exchange::peer_exchange(peer_exchange_ports ports, const peer_address& self,
                              std::function<void(const peer::holder_changes&)> on_changes,
-                             exchange_settings settings)
+                             peer_exchange_settings settings)
     : m_ports(ports),
       m_self(self),
       m_group(self, group_tunables_of(settings)),
@@ -48,26 +48,26 @@
     }
     if (!parts.empty()) {
         m_pending_expected.push_back({engine, parts});
-        notify_expected(engine);
+        notify_prompt_sent(engine);
     }
     if (prefill_tokens >= m_settings.urgent_prefill_tokens) {
         send_load(m_ports.scheduler.now());
     }
 }
 
-void peer_exchange::notify_expected(const base::engine_name& engine) const {
-    if (m_on_expected) {
-        m_on_expected(engine);
+void peer_exchange::notify_prompt_sent(const base::engine_name& engine) const {
+    if (m_on_prompt_sent) {
+        m_on_prompt_sent(engine);
     }
 }
 
-void peer_exchange::saw_weights(peer::seen_weights seen) {
+void peer_exchange::queue_seen_weights(peer::seen_weights seen) {
     if (m_running && !m_applying_notice) {
         m_pending_weights.push_back(std::move(seen));
     }
 }
 
-void peer_exchange::announce(const rollout_news& announcement) {
+void peer_exchange::announce(const rollout_announcement& announcement) {
     if (!m_running) {
         return;
     }
@@ -91,7 +91,7 @@
     send_if_full(1);
 }
 
-void peer_exchange::tell(peer::holder_changes changes) {
+void peer_exchange::queue_holder_changes(peer::holder_changes changes) {
     if (m_running) {
         m_pending_changes.push_back(std::move(changes));
     }
@@ -113,12 +113,12 @@
 }
 
 void peer_exchange::report_gone_peers(base::monotonic_time now) {
-    if (!m_on_gone || now - m_gone_reported_at < m_settings.gone_report_interval) {
+    if (!m_on_peer_gone || now - m_gone_reported_at < m_settings.gone_report_interval) {
         return;
     }
     m_gone_reported_at = now;
     for (const base::router_name& name : m_group.gone(now)) {
-        m_on_gone(name);
+        m_on_peer_gone(name);
     }
 }
 
@@ -216,7 +216,7 @@
     }
 }
 
-void peer_exchange::take(const base::endpoint& from, std::string_view bytes) {
+void peer_exchange::handle_datagram(const base::endpoint& from, std::string_view bytes) {
     const auto notice = peer::decode_traffic_notice(bytes);
     if (!notice) {
         ++m_notices_malformed;
@@ -237,7 +237,7 @@
     }
     for (const peer::expected_state& one : notice->expected) {
         m_ports.warm.expect(one.parts, one.engine, now);
-        notify_expected(one.engine);
+        notify_prompt_sent(one.engine);
     }
     for (const peer::holder_changes& one : notice->changes) {
         m_on_changes(one);
--- a/src/ferryroad/relay/peer_exchange.hpp
+++ b/src/ferryroad/relay/peer_exchange.hpp
@@ -21,7 +21,7 @@
 
 namespace ferryroad::relay {
 
-struct exchange_settings {
+struct peer_exchange_settings {
     core::topology::zone_map zones;  ///< Zones and the regions they belong to.
     /// Least interval between notices, unless one is urgent.
     base::duration notice_interval = std::chrono::milliseconds(50);
@@ -45,12 +45,12 @@
 };
 
 /// What the router that runs a weights rollout knows about engines before other routers do.
-struct rollout_news {
+struct rollout_announcement {
     std::vector<peer::loading_weights> loading;
     std::vector<peer::seen_weights> loaded;
 
     bool empty() const { return loading.empty() && loaded.empty(); }
-    friend bool operator==(const rollout_news&, const rollout_news&) = default;
+    friend bool operator==(const rollout_announcement&, const rollout_announcement&) = default;
 };
 
 /// Collaborators of `peer_exchange`; all of them must outlive it.
@@ -68,11 +68,11 @@
     /// @param on_changes called with the changes of holders that other routers follow.
     peer_exchange(peer_exchange_ports ports, const peer_address& self,
                   std::function<void(const peer::holder_changes&)> on_changes,
-                  exchange_settings settings = {});
+                  peer_exchange_settings settings = {});
 
     /// @param callback called with each engine that this router or a peer sent a prompt to.
-    void on_expected(std::function<void(const base::engine_name&)> callback) {
-        m_on_expected = std::move(callback);
+    void on_prompt_sent(std::function<void(const base::engine_name&)> callback) {
+        m_on_prompt_sent = std::move(callback);
     }
 
     /// To be called once, before any traffic.
@@ -81,7 +81,7 @@
     void stop() { m_running = false; }
 
     /// Handles a datagram whose header identifies it as a notice; counts it where it is malformed.
-    void take(const base::endpoint& from, std::string_view bytes);
+    void handle_datagram(const base::endpoint& from, std::string_view bytes);
 
     /// Sets the complete list of routers that are present.
     void set_routers(const std::vector<peer_address>& present) {
@@ -89,8 +89,8 @@
     }
     /// @param callback called with each router that the list names although it has long been
     /// silent, every `gone_report_interval` while that lasts.
-    void on_gone(std::function<void(const base::router_name&)> callback) {
-        m_on_gone = std::move(callback);
+    void on_peer_gone(std::function<void(const base::router_name&)> callback) {
+        m_on_peer_gone = std::move(callback);
     }
     /// Records that a prompt was dispatched to an engine. To be called after its load is counted.
     /// @param prefill_tokens tokens that the engine is expected to prefill.
@@ -98,12 +98,12 @@
                     const std::vector<core::prefix::scoped_part>& parts,
                     std::uint64_t prefill_tokens);
     /// Records that an engine reported newer weights, for the next notice.
-    void saw_weights(peer::seen_weights weights);
+    void queue_seen_weights(peer::seen_weights weights);
     /// Sends an announcement of the rollout to the routers of all blocks without delay: an engine
     /// refuses requests while it loads weights.
-    void announce(const rollout_news& announcement);
+    void announce(const rollout_announcement& announcement);
     /// Queues changes of a holder that this router follows for the next notice.
-    void tell(peer::holder_changes changes);
+    void queue_holder_changes(peer::holder_changes changes);
 
     /// @return whether this router follows the holder on behalf of its block.
     bool follows(const base::engine_name& holder, const base::zone_name& zone) const {
@@ -120,7 +120,7 @@
     static constexpr std::string_view component = "relay.peers";
 
     runtime::task<void> run();
-    void notify_expected(const base::engine_name& engine) const;
+    void notify_prompt_sent(const base::engine_name& engine) const;
     void send_pending();
     void log_liveness_changes(base::monotonic_time now);
     void report_gone_peers(base::monotonic_time now);
@@ -135,10 +135,10 @@
     peer_address m_self;
     peer_group m_group;
     std::function<void(const peer::holder_changes&)> m_on_changes;
-    std::function<void(const base::engine_name&)> m_on_expected;
-    std::function<void(const base::router_name&)> m_on_gone;
+    std::function<void(const base::engine_name&)> m_on_prompt_sent;
+    std::function<void(const base::router_name&)> m_on_peer_gone;
     base::monotonic_time m_gone_reported_at{};
-    exchange_settings m_settings;
+    peer_exchange_settings m_settings;
     std::vector<core::placement::router_load> m_sent_loads;  ///< As last sent to peers.
     base::monotonic_time m_loads_sent_at{};
     std::vector<peer::seen_weights> m_pending_weights;
--- a/src/ferryroad/relay/quota_datagrams.cpp
+++ b/src/ferryroad/relay/quota_datagrams.cpp
@@ -84,7 +84,7 @@
     m_transport.send(to, peer::encode(peer::call{m_self, base::incarnation(0), std::move(body)}));
 }
 
-void quota_datagrams::take(const base::endpoint& from, std::string_view bytes) {
+void quota_datagrams::handle_datagram(const base::endpoint& from, std::string_view bytes) {
     const auto message = peer::decode_call(bytes);
     if (!message) {
         ++m_malformed;
--- a/src/ferryroad/relay/quota_datagrams.hpp
+++ b/src/ferryroad/relay/quota_datagrams.hpp
@@ -36,7 +36,7 @@
     /// Sets the routers that are present, with their addresses.
     void set_routers(const std::vector<peer_address>& present);
     /// Handles a datagram with a request or an answer; counts it where it is malformed.
-    void take(const base::endpoint& from, std::string_view bytes);
+    void handle_datagram(const base::endpoint& from, std::string_view bytes);
     /// Sends a request to a router and waits for the answer.
     /// @return the answer, or nothing where the router's address is unknown or no answer came in
     /// time.
--- a/src/ferryroad/relay/relay_metrics.cpp
+++ b/src/ferryroad/relay/relay_metrics.cpp
@@ -181,7 +181,7 @@
     set("ferryroad_relay_release_reports_unanswered", "Those that were not answered in time.",
         static_cast<double>(now.release_traffic.reports_unanswered));
     set("ferryroad_relay_release_reports_taken", "Reports taken as coordinator of a release.",
-        static_cast<double>(now.release_traffic.reports_taken));
+        static_cast<double>(now.release_traffic.reports_received));
     set("ferryroad_relay_release_table_calls", "Calls to the store as coordinator of a release.",
         static_cast<double>(now.release_traffic.table_calls));
     set("ferryroad_relay_releases_led", "Releases that this router coordinates.",
--- a/src/ferryroad/relay/release_service.cpp
+++ b/src/ferryroad/relay/release_service.cpp
@@ -119,7 +119,7 @@
     }
 }
 
-void release_service::take(const base::endpoint& from, std::string_view bytes) {
+void release_service::handle_datagram(const base::endpoint& from, std::string_view bytes) {
     if (peer::is_release_report(bytes)) {
         const auto received = peer::decode_release_report(bytes);
         if (!received) {
@@ -271,7 +271,7 @@
         // The sender turns to another router until this one has read the order.
         return std::nullopt;
     }
-    ++m_counters.reports_taken;
+    ++m_counters.reports_received;
     const base::monotonic_time now = m_ports.scheduler.now();
     coordinated_release& one = coordinate(*order);
     one.reported_at = now;
--- a/src/ferryroad/relay/release_service.hpp
+++ b/src/ferryroad/relay/release_service.hpp
@@ -61,7 +61,7 @@
 struct release_counters {
     std::uint64_t reports_sent = 0;
     std::uint64_t reports_unanswered = 0;
-    std::uint64_t reports_taken = 0;
+    std::uint64_t reports_received = 0;
     std::uint64_t malformed = 0;
     std::uint64_t table_calls = 0;  ///< To the table, and to publish the state to operators.
 
@@ -89,13 +89,13 @@
     void engines_changed() { m_traffic.engines_changed(m_ports.scheduler.now()); }
     /// Handles a datagram whose header identifies it as a release report or notice; counts it where
     /// it is malformed.
-    void take(const base::endpoint& from, std::string_view bytes);
+    void handle_datagram(const base::endpoint& from, std::string_view bytes);
 
     canary_traffic& traffic() { return m_traffic; }
     const canary_traffic& traffic() const { return m_traffic; }
     const release_counters& counters() const { return m_counters; }
     /// @return the number of pools whose release this router coordinates.
-    std::size_t led() const { return m_coordinated.size(); }
+    std::size_t coordinated_count() const { return m_coordinated.size(); }
 
   private:
     /// State of this router's reports about one pool.
--- a/src/ferryroad/relay/rollout_lease.cpp
+++ b/src/ferryroad/relay/rollout_lease.cpp
@@ -19,7 +19,7 @@
     if (router.stopping) {
         return false;
     }
-    return router.holds || (router.reads_owner && router.up_for >= contention_delay);
+    return router.holds || (router.reads_owner && router.uptime >= contention_delay);
 }
 
 rollout_lease::rollout_lease(const runtime::scheduler& scheduler, leases::lease_service& leases,
--- a/src/ferryroad/relay/rollout_lease.hpp
+++ b/src/ferryroad/relay/rollout_lease.hpp
@@ -21,7 +21,7 @@
     bool stopping = false;     ///< Shuts down.
     bool reads_owner = false;  ///< Reads the store's tables for other routers.
     bool holds = false;        ///< Holds the lease.
-    base::duration up_for{};   ///< Time since its start.
+    base::duration uptime{};   ///< Time since its start.
 
     friend bool operator==(const lease_contender&, const lease_contender&) = default;
 };
--- a/src/ferryroad/relay/rollout_service.hpp
+++ b/src/ferryroad/relay/rollout_service.hpp
@@ -68,7 +68,7 @@
     const policy_source& policies;
     Lease& lease;
     /// Called with what other routers must know without delay. May be empty.
-    std::function<void(const rollout_news&)> announce;
+    std::function<void(const rollout_announcement&)> announce;
 };
 
 /// Not thread-safe: to be used from the event loop's thread. Must live until the loop has ended.
@@ -253,7 +253,7 @@
     rollout_ports<Upstream, Lease> m_ports;
     rollout_settings m_settings;
     coordination::rollout::weights_rollout m_rollout;
-    rollout_news m_unannounced;                                ///< Since the last announcement.
+    rollout_announcement m_unannounced;                        ///< Since the last announcement.
     std::map<std::string, std::uint64_t> m_logged_everywhere;  ///< Versions by model.
     std::uint64_t m_orders_sent = 0;
     bool m_stopped = false;
--- a/src/ferryroad/relay/shared_feed.hpp
+++ b/src/ferryroad/relay/shared_feed.hpp
@@ -30,15 +30,15 @@
 namespace ferryroad::relay {
 
 /// Requirements on a router's copy of one table.
-struct table_terms {
+struct table_requirements {
     /// Least interval between the starts of two reads from the owner. Other routers pass changes on
     /// without such an interval.
     base::duration min_owner_interval{};
     /// A copy that is older is behind: its router turns to another source and, soon after, to the
     /// owner.
-    base::duration oldest = coordination::reading::selector_settings().max_copy_age;
+    base::duration max_age = coordination::reading::selector_settings().max_copy_age;
 
-    friend bool operator==(const table_terms&, const table_terms&) = default;
+    friend bool operator==(const table_requirements&, const table_requirements&) = default;
 };
 
 struct shared_feed_settings {
@@ -119,7 +119,7 @@
 
     /// Sets how contacts are found; without it, first copies come from the owner. To be called
     /// before the first read.
-    void find_contacts_by(contact_search search) { m_contact_search = std::move(search); }
+    void set_contact_search(contact_search search) { m_contact_search = std::move(search); }
 
     /// Sets the routers that are present by the owner's table. No others are called, contacts
     /// aside.
@@ -140,10 +140,10 @@
     }
 
     /// Sets the requirements on a table's copy, from the next read on.
-    void expect(const std::string& name, table_terms requirements) {
+    void set_requirements(const std::string& name, table_requirements requirements) {
         table_state& table = state_of(name);
         table.requirements = requirements;
-        table.sources.set_max_copy_age(requirements.oldest);
+        table.sources.set_max_copy_age(requirements.max_age);
     }
 
     /// @return whether this router currently reads the owner, for itself and for other routers.
@@ -189,7 +189,7 @@
     /// What this router knows about a table and its sources.
     struct table_state {
         coordination::reading::source_selector sources;
-        table_terms requirements;
+        table_requirements requirements;
         std::uint64_t version = 0;
         base::monotonic_time as_of{};
         base::monotonic_time next_owner_read{};  ///< Earliest, by `min_owner_interval`.
@@ -206,8 +206,8 @@
         coordination::reading::source_selector sources(member_of(m_self), m_settings.sources,
                                                        m_reach, m_scheduler.random());
         sources.declare(m_members);
-        table_terms requirements;
-        requirements.oldest = m_settings.sources.max_copy_age;
+        table_requirements requirements;
+        requirements.max_age = m_settings.sources.max_copy_age;
         return m_tables.emplace(name, table_state{std::move(sources), requirements}).first->second;
     }
 
@@ -445,7 +445,7 @@
         }
         // The request arrived no earlier than it was sent, so this is a lower bound.
         const base::monotonic_time as_of = std::min(sent_at + answer->confirmed_after, now);
-        if (now - as_of > table.requirements.oldest) {
+        if (now - as_of > table.requirements.max_age) {
             ++m_reads_behind;
             log_unsuccessful({wanted.table, from, "too old", now - sent_at, limit, now - as_of});
         }
@@ -516,7 +516,7 @@
     }
 
     static bool is_behind(const table_state& table, base::monotonic_time now) {
-        return now - table.as_of > table.requirements.oldest;
+        return now - table.as_of > table.requirements.max_age;
     }
 
     /// Delays calls while the copy is behind. The first one is not delayed, as the source often has
@@ -534,7 +534,7 @@
     /// answer then ends about when the copy becomes too old, so that another source can be called
     /// in time. A router whose copy is behind allows no hold.
     base::duration hold_for(const table_state& table, base::monotonic_time now) const {
-        const base::duration left = table.as_of + table.requirements.oldest - now;
+        const base::duration left = table.as_of + table.requirements.max_age - now;
         if (left < base::duration{}) {
             return {};
         }
--- a/src/ferryroad/relay/table_server.cpp
+++ b/src/ferryroad/relay/table_server.cpp
@@ -81,7 +81,7 @@
     }
 }
 
-void table_server::large_news_at_owner(const std::string& table) {
+void table_server::notify_large_change(const std::string& table) {
     const auto found = m_tables.find(table);
     if (found != m_tables.end()) {
         found->second->large_change_at_owner = true;
@@ -171,7 +171,7 @@
     select_rows(table, request, answer);
     const std::size_t bytes = answer.packed ? answer.packed->block.size() : bytes_of(answer.rows);
     answer.at_owner = should_redirect(table, request) ||
-                      (request.may_redirect && bytes > m_settings.relayed_bytes);
+                      (request.may_redirect && bytes > m_settings.max_relayed_bytes);
     if (answer.at_owner) {
         answer.rows.clear();
         answer.packed.reset();
--- a/src/ferryroad/relay/table_server.hpp
+++ b/src/ferryroad/relay/table_server.hpp
@@ -35,7 +35,7 @@
     /// Most bytes of changed rows that are passed on, counted after packing where the caller
     /// accepts packed rows. The caller has to read larger changes from the owner.
     /// `relayed_bytes_for` computes the limit from this router's link.
-    std::size_t relayed_bytes = std::size_t{24} * 1024;
+    std::size_t max_relayed_bytes = std::size_t{24} * 1024;
 };
 
 /// Not thread-safe: to be used from the event loop's thread. Must live until the loop has ended;
@@ -56,7 +56,7 @@
     /// To be called when the owner has begun to send a large change of a table that is not in the
     /// copy yet. Held calls are answered without delay, so that all routers read the
     /// change at the same time and not one after another.
-    void large_news_at_owner(const std::string& table);
+    void notify_large_change(const std::string& table);
 
     std::uint64_t answers() const { return m_answers; }
     std::uint64_t malformed_requests() const { return m_malformed; }
--- a/src/ferryroad/relay/tunables.hpp
+++ b/src/ferryroad/relay/tunables.hpp
@@ -52,7 +52,7 @@
 /// of the bound old. That leaves room for an unresponsive source before and a lost call to the
 /// store after, 0.3 s each. When a copy counted as current up to 2.5 s with a bound of 2 s, a
 /// request reached an engine 2.45 s after its announcement (logs of a fleet of 8).
-inline table_terms engine_list_terms(base::duration bound) {
+inline table_requirements engine_list_terms(base::duration bound) {
     constexpr double max_age_share = 0.6;
     return {engine_list_pace, base::from_seconds(base::to_seconds(bound) * max_age_share)};
 }
@@ -61,7 +61,7 @@
 /// @return the freshness required of the declarations. The copy of a router that reads an idle
 /// table is up to 1.5 s old, as its calls wait 0.75 s for changes; a lower share would make all
 /// routers read the store.
-inline table_terms declaration_terms(base::duration bound) {
+inline table_requirements declaration_terms(base::duration bound) {
     constexpr double max_age_share = 0.8;
     return {{}, base::from_seconds(base::to_seconds(bound) * max_age_share)};
 }
@@ -112,9 +112,9 @@
 inline constexpr base::duration listing_check_period = std::chrono::milliseconds(10);
 
 /// @return the freshness required of the list of routers, given the settings it is followed with.
-inline table_terms router_list_terms(const follower_settings& asked) {
-    table_terms terms;
-    terms.oldest += asked.pace;
+inline table_requirements router_list_terms(const follower_settings& asked) {
+    table_requirements terms;
+    terms.max_age += asked.pace;
     return terms;
 }
 
--- a/test/relay/crash_exchange_test.cpp
+++ b/test/relay/crash_exchange_test.cpp
@@ -69,15 +69,15 @@
         clock.observe(now, now,
                       std::chrono::milliseconds(base::to_milliseconds(now.time_since_epoch())));
         transport.on_datagram([this](const base::endpoint& from, std::string_view bytes) {
-            exchange.take(from, bytes);
+            exchange.handle_datagram(from, bytes);
         });
         exchange.start();
     }
     void read_rows(const fake_table& table) {
         for (const auto& [key, value] : table.rows) {
-            exchange.take_row(value);
+            exchange.queue_row(value);
         }
-        exchange.rows_confirmed();
+        exchange.apply_queued_rows();
     }
 
     runtime::scheduler& scheduler;
@@ -248,8 +248,8 @@
 
 Test(crash_exchange, malformed_rows_and_datagrams_are_counted) {
     fixture all(1);
-    all.routers[0]->exchange.take({"10.0.0.9", 9}, "FRCN or not");
-    all.routers[0]->exchange.take_row("none");
-    all.routers[0]->exchange.rows_confirmed();
+    all.routers[0]->exchange.handle_datagram({"10.0.0.9", 9}, "FRCN or not");
+    all.routers[0]->exchange.queue_row("none");
+    all.routers[0]->exchange.apply_queued_rows();
     cr_assert_eq(all.routers[0]->exchange.malformed(), 2);
 }
--- a/test/relay/peer_exchange_test.cpp
+++ b/test/relay/peer_exchange_test.cpp
@@ -32,15 +32,15 @@
         one.versions["m"] = 1;
         registry.put(one);
         registry.on_newer_weights([this](const auto& name, const auto& model, auto version) {
-            exchange.saw_weights({name, model, version});
+            exchange.queue_seen_weights({name, model, version});
         });
         transport.on_datagram([this](const base::endpoint& from, std::string_view bytes) {
-            exchange.take(from, bytes);
+            exchange.handle_datagram(from, bytes);
         });
         exchange.start();
     }
-    static exchange_settings settings() {
-        exchange_settings all;
+    static peer_exchange_settings settings() {
+        peer_exchange_settings all;
         all.notice_interval = 2ms;
         all.heartbeat_interval = 50ms;
         return all;
@@ -107,7 +107,7 @@
     for (std::uint64_t number = 0; number < 10; ++number) {
         peer::holder_changes one{engine, 1, number * 40, number * 40 + 40, {}};
         one.parts.resize(40, parts.front());
-        at.first.exchange.tell(one);
+        at.first.exchange.queue_holder_changes(one);
     }
     cr_assert(at.until([&] { return at.second.received_changes.size() == 10; }));
     cr_assert_eq(at.second.received_changes.back().next, 400);
@@ -146,7 +146,7 @@
                            [](const peer::holder_changes&) {});
     exchange.set_routers({{base::router_name("q"), base::zone_name("z"), {"10.0.0.1", 2}}});
     exchange.dispatched(engine, parts, 9000);
-    exchange.tell({engine, 1, 0, 1, {}});
+    exchange.queue_holder_changes({engine, 1, 0, 1, {}});
     cr_assert_eq(network.sent, 0);
 }
 
--- a/test/relay/quota_datagrams_test.cpp
+++ b/test/relay/quota_datagrams_test.cpp
@@ -41,7 +41,7 @@
     }
     void listen() {
         transport.on_datagram([this](const base::endpoint& from, std::string_view bytes) {
-            datagrams.take(from, bytes);
+            datagrams.handle_datagram(from, bytes);
         });
     }
     /// From now on datagrams to this router are lost.
@@ -164,9 +164,9 @@
         peer::quota_grant forged{number, {true, {}, 1}};
         return peer::encode(peer::call{sender, base::incarnation(0), forged});
     };
-    asking.datagrams.take(home.self.address, grant(1, home.self.name));
-    asking.datagrams.take(home.self.address, "noise");
-    asking.datagrams.take(
+    asking.datagrams.handle_datagram(home.self.address, grant(1, home.self.name));
+    asking.datagrams.handle_datagram(home.self.address, "noise");
+    asking.datagrams.handle_datagram(
         home.self.address,
         peer::encode(peer::call{home.self.name, base::incarnation(0), peer::empty{}}));
     cr_assert_eq(asking.datagrams.malformed(), 2);
--- a/test/relay/release_service_test.cpp
+++ b/test/relay/release_service_test.cpp
@@ -226,20 +226,20 @@
     run.routers[0]->service.order(*run.routers[1]->service.traffic().gate().order_of(the_pool));
     run.routers[0]->registry.replace_all({}, {});
     run.time.run_until(run.time.now() + 500ms);
-    cr_assert_eq(run.routers[0]->service.led(), 0);
+    cr_assert_eq(run.routers[0]->service.coordinated_count(), 0);
     cr_assert_eq(run.routers[0]->service.counters().table_calls, 0);
 }
 
 Test(release_service, malformed_datagrams_are_counted_and_ignored) {
     simulated_release run(2);
-    run.routers[0]->service.take({"10.0.0.9", 9}, "nonsense");
-    run.routers[0]->service.take({"10.0.0.9", 9}, std::string("\x08\0\0\0FRRR", 8));
+    run.routers[0]->service.handle_datagram({"10.0.0.9", 9}, "nonsense");
+    run.routers[0]->service.handle_datagram({"10.0.0.9", 9}, std::string("\x08\0\0\0FRRR", 8));
     cr_assert_eq(run.routers[0]->service.counters().malformed, 2);
     peer::release_report unknown;
     unknown.sender.value = "r9";
     unknown.pool.value = "other";
-    run.routers[0]->service.take({"10.0.0.9", 9}, peer::encode(unknown));
-    cr_assert_eq(run.routers[0]->service.led(), 0);
+    run.routers[0]->service.handle_datagram({"10.0.0.9", 9}, peer::encode(unknown));
+    cr_assert_eq(run.routers[0]->service.coordinated_count(), 0);
 }
 
 Test(release_service, a_delayed_trial_notice_grants_nothing) {
@@ -257,8 +257,8 @@
         the_pool, order, release::software_version("v2"), release_phase::trial, {}, {}};
     const auto& teller = run.routers[coordinator]->self;
     const base::monotonic_time later = run.time.now();
-    isolated.take(teller.address,
-                  peer::encode(peer::release_notice{teller.name, the_pool, order, told, false, 1}));
+    isolated.handle_datagram(teller.address, peer::encode(peer::release_notice{
+                                                 teller.name, the_pool, order, told, false, 1}));
     run.run_for(1s);
     cr_assert_eq(run.sent_to("v2", later, other), 0);
     cr_assert_gt(run.sent_to("v1", later, other), 0);
--- a/test/relay/rollout_lease_test.cpp
+++ b/test/relay/rollout_lease_test.cpp
@@ -126,11 +126,11 @@
 
 Test(rollout_lease, few_routers_contend_and_none_while_all_start_together) {
     lease_contender router;
-    router.up_for = 10s;
+    router.uptime = 10s;
     cr_assert_not(contends_for_rollout(router));
     router.reads_owner = true;
     cr_assert(contends_for_rollout(router));
-    router.up_for = 100ms;
+    router.uptime = 100ms;
     cr_assert_not(contends_for_rollout(router));
     router.holds = true;
     cr_assert(contends_for_rollout(router));
--- a/test/relay/rollout_service_test.cpp
+++ b/test/relay/rollout_service_test.cpp
@@ -31,12 +31,12 @@
     fake_lease lease;
     rollout_service<fake_upstream, fake_lease> service{
         {loop.scheduler, upstream, registry, policies, lease,
-         [this](const rollout_news& announcement) {
+         [this](const rollout_announcement& announcement) {
              orders_at_announcement.push_back(upstream.orders.size());
              announcements.push_back(announcement);
          }},
         settings()};
-    std::vector<rollout_news> announcements;
+    std::vector<rollout_announcement> announcements;
     std::vector<std::size_t> orders_at_announcement;
 
     fixture() {
@@ -114,7 +114,7 @@
     at.service.start();
     const auto loaded = [&] {
         std::size_t count = 0;
-        for (const rollout_news& announcement : at.announcements) {
+        for (const rollout_announcement& announcement : at.announcements) {
             count += announcement.loaded.size();
         }
         return count;
--- a/test/relay/shared_feed_test.cpp
+++ b/test/relay/shared_feed_test.cpp
@@ -232,7 +232,7 @@
     }
 };
 
-const std::size_t relayed_bytes = table_server_settings().relayed_bytes;
+const std::size_t max_relayed_bytes = table_server_settings().max_relayed_bytes;
 
 /// @return text that packing does not shorten. It begins with 2, as rows with the same first
 /// character count as equivalent in these tests.
@@ -447,11 +447,11 @@
     }
     router& other = all.other();
     const int before = other.direct.calls;
-    const std::string large = unpackable(relayed_bytes + 1);
+    const std::string large = unpackable(max_relayed_bytes + 1);
     all.source.put("b", large);
     cr_assert(all.run_until([&] { return all.all_have("b", large); }));
     cr_assert_gt(other.direct.calls, before);
-    cr_assert_lt(largest, relayed_bytes);
+    cr_assert_lt(largest, max_relayed_bytes);
 }
 
 Test(shared_feed, large_changes_are_passed_on_to_a_router_that_the_owner_refuses) {
@@ -460,7 +460,7 @@
     cr_assert(settle(all));
     router& other = all.other();
     other.direct.refuses_calls = true;
-    const std::string large = unpackable(2 * relayed_bytes);
+    const std::string large = unpackable(2 * max_relayed_bytes);
     all.source.put("b", large);
     cr_assert(all.run_until([&] { return all.all_have("b", large); }));
 }
@@ -492,7 +492,7 @@
         routers.push_back(std::make_unique<router>(loop, net, source, port));
     }
     for (std::size_t index = 0; index < routers.size(); ++index) {
-        routers[index]->feed.find_contacts_by(contacts_among(routers, index, 4));
+        routers[index]->feed.set_contact_search(contacts_among(routers, index, 4));
     }
     source.put("a", "1");
     int whole_reads = 0;
--- a/test/relay/simulated_release.hpp
+++ b/test/relay/simulated_release.hpp
@@ -136,8 +136,9 @@
     void connect() {
         transport.on_datagram([this](const base::endpoint& from, std::string_view bytes) {
             virtual_time& time = scheduler.time();
-            time.at(time.now() + std::chrono::milliseconds(1), scheduler.process(),
-                    [this, from, told = std::string(bytes)] { service.take(from, told); });
+            time.at(
+                time.now() + std::chrono::milliseconds(1), scheduler.process(),
+                [this, from, told = std::string(bytes)] { service.handle_datagram(from, told); });
         });
     }
     /// Isolates the router: it gets no datagrams, and its calls to the table fail.
@@ -285,7 +286,7 @@
     std::size_t coordinator() const {
         std::size_t found = routers.size();
         for (std::size_t index = 0; index < routers.size(); ++index) {
-            if (routers[index] && routers[index]->service.led() > 0) {
+            if (routers[index] && routers[index]->service.coordinated_count() > 0) {
                 found = index;
             }
         }
--- a/test/relay/table_freshness_test.cpp
+++ b/test/relay/table_freshness_test.cpp
@@ -169,7 +169,7 @@
     for (const bool silent : {false, true}) {
         for (const peer_address& self : eight_routers()) {
             router one(seed++, self);
-            one.feed.expect(engines, engine_list_terms(bound));
+            one.feed.set_requirements(engines, engine_list_terms(bound));
             one.time.run_until(one.time.now() + 5s);
             one.others.engines_read_until = one.scheduler.now();
             one.others.time_out_calls = silent;
@@ -182,7 +182,7 @@
 
 Test(table_freshness, reads_the_owner_no_faster_than_its_pace) {
     router one(1, eight_routers().front());
-    one.feed.expect(engines, engine_list_terms(2s));
+    one.feed.set_requirements(engines, engine_list_terms(2s));
     one.time.run_until(one.time.now() + 5s);
     one.others.time_out_calls = true;
     one.time.run_until(one.time.now() + 5s);
@@ -193,8 +193,8 @@
 
 Test(table_freshness, idle_tables_cost_few_calls) {
     router one(1, eight_routers().front());
-    one.feed.expect(declarations, declaration_terms(2s));
-    one.feed.expect(engines, engine_list_terms(2s));
+    one.feed.set_requirements(declarations, declaration_terms(2s));
+    one.feed.set_requirements(engines, engine_list_terms(2s));
     one.time.run_until(one.time.now() + 10s);
     const std::uint64_t before = one.feed.peer_calls() + one.feed.owner_calls();
     one.time.run_until(one.time.now() + 10s);
--- a/test/relay/table_server_test.cpp
+++ b/test/relay/table_server_test.cpp
@@ -113,7 +113,7 @@
     }
     runtime::task<void> announce_large_change() {
         co_await loop.scheduler.sleep_for(10ms);
-        server.large_news_at_owner(table_name);
+        server.notify_large_change(table_name);
     }
 };
 
@@ -131,7 +131,7 @@
 
 Test(table_server, calls_are_redirected_until_the_copy_has_the_large_change) {
     fixture at;
-    at.server.large_news_at_owner(table_name);
+    at.server.notify_large_change(table_name);
     cr_assert(at.ask(known_version, true)->at_owner);
     at.copy.confirm({known_version + 1, at.loop.scheduler.now(), 0ms});
     at.server.news(table_name);
@@ -140,7 +140,7 @@
 
 Test(table_server, large_rows_are_redirected_unless_the_caller_forbids_it) {
     fixture at;
-    const std::string large(table_server_settings().relayed_bytes, 'x');
+    const std::string large(table_server_settings().max_relayed_bytes, 'x');
     at.copy.change({"b", large, known_version + 1, false});
     at.copy.confirm({known_version + 1, at.loop.scheduler.now(), 0ms});
     const auto redirected = at.ask(known_version, true);
@@ -153,7 +153,7 @@
 
 Test(table_server, changed_rows_that_are_small_once_packed_are_passed_on) {
     fixture at;
-    const std::string large(10 * table_server_settings().relayed_bytes, 'x');
+    const std::string large(10 * table_server_settings().max_relayed_bytes, 'x');
     at.copy.change({"b", large, known_version + 1, false});
     at.copy.confirm({known_version + 1, at.loop.scheduler.now(), 0ms});
     const auto received = at.ask_packed(known_version);
@@ -166,7 +166,7 @@
     fixture at;
     base::seeded_random random(5);
     std::string large;
-    while (large.size() < 2 * table_server_settings().relayed_bytes) {
+    while (large.size() < 2 * table_server_settings().max_relayed_bytes) {
         large.push_back(static_cast<char>(random.below(256)));
     }
     at.copy.change({"b", large, known_version + 1, false});
@@ -176,7 +176,7 @@
 
 Test(table_server, a_whole_copy_is_given_whatever_its_size) {
     fixture at;
-    const std::string large(10 * table_server_settings().relayed_bytes, 'x');
+    const std::string large(10 * table_server_settings().max_relayed_bytes, 'x');
     at.copy.change({"b", large, known_version + 1, false});
     at.copy.confirm({known_version + 1, at.loop.scheduler.now(), 0ms});
     const auto received = at.ask_whole(0ms);
