--- a/src/ferryroad/router/backends/backend_directory.cpp
+++ b/src/ferryroad/router/backends/backend_directory.cpp
@@ -89,20 +89,20 @@
 void backend_directory::record_load(const base::engine_name& engine,
                                     const engine::load_report& load) {
     if (backend_record* record = find_record(engine)) {
-        tell_leaving(*record, record->record_load(load, clock_.now()));
+        notify_leaving(*record, record->record_load(load, clock_.now()));
     }
 }
 
 void backend_directory::record_failure(const base::engine_name& engine, engine::error_code code) {
     if (backend_record* record = find_record(engine)) {
         record->record_failure(code, clock_.now());
-        tell_urgent();
+        notify_poll_due();
     }
 }
 
 void backend_directory::record_leaving(const base::engine_name& engine, base::incarnation process) {
     if (backend_record* record = find_record(engine)) {
-        tell_leaving(*record, record->record_leaving(process, clock_.now()));
+        notify_leaving(*record, record->record_leaving(process, clock_.now()));
     }
 }
 
@@ -122,11 +122,11 @@
             record.record_unlisted(now);
         }
     }
-    std::erase_if(records_, [now](const auto& entry) { return entry.second.is_forgettable(now); });
-    tell_urgent();
+    std::erase_if(records_, [now](const auto& entry) { return entry.second.can_be_removed(now); });
+    notify_poll_due();
 }
 
-std::vector<poll_order> backend_directory::begin_polls(std::size_t most) {
+std::vector<poll_request> backend_directory::begin_polls(std::size_t limit) {
     const base::monotonic_time now = clock_.now();
     std::vector<std::pair<base::monotonic_time, backend_record*>> due;
     for (auto& [name, record] : records_) {
@@ -137,18 +137,18 @@
     }
     std::stable_sort(due.begin(), due.end(),
                      [](const auto& left, const auto& right) { return left.first < right.first; });
-    due.resize(std::min(due.size(), most));
-    std::vector<poll_order> orders;
+    due.resize(std::min(due.size(), limit));
+    std::vector<poll_request> requests;
     for (const auto& [when, record] : due) {
         record->begin_poll();
-        orders.push_back({record->name(), record->machine().address});
+        requests.push_back({record->name(), record->machine().address});
     }
-    return orders;
+    return requests;
 }
 
 void backend_directory::record_poll(const base::engine_name& engine, const poll_answer& answer) {
     if (backend_record* record = find_record(engine)) {
-        tell_leaving(*record, record->record_poll(answer, clock_.now()));
+        notify_leaving(*record, record->record_poll(answer, clock_.now()));
     }
 }
 
@@ -163,8 +163,8 @@
     std::optional<base::monotonic_time> soonest;
     for (const auto& [name, record] : records_) {
         const std::optional<base::monotonic_time> next = record.next_poll();
-        const bool asked = next && record.health(now) != backend_health::missing;
-        if (asked && (!soonest || *next < *soonest)) {
+        const bool pollable = next && record.health(now) != backend_health::missing;
+        if (pollable && (!soonest || *next < *soonest)) {
             soonest = next;
         }
     }
@@ -216,15 +216,15 @@
     return all;
 }
 
-void backend_directory::tell_leaving(const backend_record& record, bool news) {
-    if (news && leaving_listener_) {
+void backend_directory::notify_leaving(const backend_record& record, bool is_first_report) {
+    if (is_first_report && leaving_listener_) {
         leaving_listener_(record.name(), record.process());
     }
 }
 
-void backend_directory::tell_urgent() {
-    if (urgent_listener_) {
-        urgent_listener_();
+void backend_directory::notify_poll_due() {
+    if (poll_due_listener_) {
+        poll_due_listener_();
     }
 }
 
--- a/src/ferryroad/router/backends/backend_record.cpp
+++ b/src/ferryroad/router/backends/backend_record.cpp
@@ -7,8 +7,9 @@
 
 namespace {
 
-/// Doublings of the pause between polls that fail: enough to pass any limit.
-constexpr std::uint32_t most_doublings = 16;
+/// Limits the exponent of the poll backoff; 2^16 times the first pause exceeds any configured
+/// limit.
+constexpr std::uint32_t max_backoff_doublings = 16;
 
 }  // namespace
 
@@ -17,7 +18,7 @@
 
 void backend_record::record_listed(const platform::machine& machine, base::monotonic_time now) {
     if (machine.address != machine_.address) {
-        doubt(now);
+        require_confirmation(now);
         poll_at_once_ = true;
     }
     const bool leaving_before = is_list_leaving(now);
@@ -50,24 +51,25 @@
 bool backend_record::record_poll(const poll_answer& answer, base::monotonic_time now) {
     end_poll(now);
     if (answer.address != machine_.address) {
-        return false;  // the list has moved it in the meantime
+        return false;  // The machine list changed the engine's address in the meantime.
     }
     if (!accept_report(answer.load, now)) {
-        suspect(now);  // another engine, or an older process, answers there
+        mark_suspected(now);  // Another engine or an older process answered at this address.
         ++failed_polls_;
         return false;
     }
     failures_ = 0;
     failed_polls_ = 0;
-    if (doubted_since_ && answer.asked_at >= *doubted_since_) {
-        doubted_since_.reset();
+    if (unconfirmed_since_ && answer.asked_at >= *unconfirmed_since_) {
+        unconfirmed_since_.reset();
         suspected_ = false;
     }
     if (answer.load.leaving) {
         return record_leaving(answer.load.incarnation, now);
     }
-    const bool said_since = answer.asked_at >= leaving_since_ + limits_->leaving_hold;
-    if (said_since && answer.load.incarnation >= leaving_process_) {
+    const bool asked_after_hold_down =
+        answer.asked_at >= leaving_since_ + limits_->leaving_hold_down;
+    if (asked_after_hold_down && answer.load.incarnation >= leaving_process_) {
         leaving_process_ = {};
     }
     return false;
@@ -86,8 +88,8 @@
     }
     load_ = load;
     reported_at_ = now;
-    const base::monotonic_time shown_until = now - load.age;
-    while (!unreported_.empty() && unreported_.front().at <= shown_until) {
+    const base::monotonic_time covered_until = now - load.age;
+    while (!unreported_.empty() && unreported_.front().at <= covered_until) {
         unreported_.pop_front();
     }
     return true;
@@ -108,7 +110,7 @@
 void backend_record::record_failure(engine::error_code code, base::monotonic_time now) {
     switch (code) {
         case engine::error_code::connect_failed:
-            suspect(now);
+            mark_suspected(now);
             break;
         case engine::error_code::connection_lost:
         case engine::error_code::timed_out:
@@ -117,7 +119,7 @@
             break;
         case engine::error_code::refused_incarnation:
         case engine::error_code::refused_version:
-            doubt(now);
+            require_confirmation(now);
             break;
         case engine::error_code::refused_leaving:
             record_leaving(process_, now);
@@ -129,29 +131,29 @@
         case engine::error_code::refused_import:
         case engine::error_code::not_found:
         case engine::error_code::failed:
-            return;  // says nothing of the engine
+            return;  // These don't indicate anything about the engine's health.
     }
     poll_at_once_ = true;
 }
 
 void backend_record::count_failure(base::monotonic_time now) {
-    if (++failures_ >= limits_->failures_to_suspect) {
-        suspect(now);
+    if (++failures_ >= limits_->suspicion_threshold) {
+        mark_suspected(now);
     }
 }
 
-void backend_record::suspect(base::monotonic_time now) {
+void backend_record::mark_suspected(base::monotonic_time now) {
     suspected_ = true;
-    doubt(now);
+    require_confirmation(now);
 }
 
-void backend_record::doubt(base::monotonic_time now) {
-    doubted_since_ = now;
+void backend_record::require_confirmation(base::monotonic_time now) {
+    unconfirmed_since_ = now;
 }
 
 bool backend_record::record_leaving(base::incarnation process, base::monotonic_time now) {
     if (process < process_) {
-        return false;  // said of a process that is gone
+        return false;  // The report is about a process that has been replaced.
     }
     leaving_since_ = now;
     if (process <= leaving_process_) {
@@ -181,26 +183,26 @@
         return true;
     }
     const bool newer_process = process_ > list_leaving_process_;
-    return !newer_process && now - listed_leaving_at_ < limits_->leaving_hold;
+    return !newer_process && now - listed_leaving_at_ < limits_->leaving_hold_down;
 }
 
 backend_health backend_record::health(base::monotonic_time now) const {
-    if (missing_since_ && now - *missing_since_ >= limits_->missing_hold) {
+    if (missing_since_ && now - *missing_since_ >= limits_->missing_timeout) {
         return backend_health::missing;
     }
-    const bool says_leaving = leaving_process_.value != 0 && leaving_process_ >= process_;
-    if (says_leaving || is_list_leaving(now)) {
+    const bool reported_leaving = leaving_process_.value != 0 && leaving_process_ >= process_;
+    if (reported_leaving || is_list_leaving(now)) {
         return backend_health::leaving;
     }
     if (suspected_) {
         return backend_health::suspected;
     }
-    const bool confirmed = process_.value != 0 && !doubted_since_;
+    const bool confirmed = process_.value != 0 && !unconfirmed_since_;
     return confirmed ? backend_health::live : backend_health::unconfirmed;
 }
 
-bool backend_record::is_forgettable(base::monotonic_time now) const {
-    return missing_since_ && now - *missing_since_ >= limits_->forget_after;
+bool backend_record::can_be_removed(base::monotonic_time now) const {
+    return missing_since_ && now - *missing_since_ >= limits_->removal_timeout;
 }
 
 void backend_record::begin_poll() {
@@ -221,11 +223,11 @@
         return base::monotonic_time{};
     }
     if (failed_polls_ > 0) {
-        const std::uint32_t doublings = std::min(failed_polls_ - 1, most_doublings);
+        const std::uint32_t doublings = std::min(failed_polls_ - 1, max_backoff_doublings);
         const base::duration pause = limits_->poll_backoff * (std::int64_t{1} << doublings);
         return last_poll_at_ + std::min(pause, limits_->poll_backoff_limit);
     }
-    if (doubted_since_ || process_.value == 0) {
+    if (unconfirmed_since_ || process_.value == 0) {
         return last_poll_at_;
     }
     return std::max(reported_at_, last_poll_at_) + limits_->poll_interval;
--- a/src/ferryroad/router/backends/backend_record.hpp
+++ b/src/ferryroad/router/backends/backend_record.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What a router knows of one back end. Pure: time is passed in.
+/// State of one back end as known to this router. Does no I/O; the caller passes the time in.
 #pragma once
 
 #include "ferryroad/engine/errors.hpp"
@@ -14,51 +14,59 @@
 
 namespace ferryroad::router::backends {
 
+/// Health of a back end as this router judges it.
 enum class backend_health {
     live,
-    unconfirmed,  ///< No word yet of the process that answers there now.
-    suspected,    ///< Doesn't answer.
-    leaving,
-    missing  ///< Gone from the machine list.
+    unconfirmed,  ///< The process at the engine's address has not been confirmed by a poll yet.
+    suspected,    ///< The engine does not answer.
+    leaving,      ///< The engine is shutting down and takes no new work.
+    missing       ///< The machine list has lacked the engine for `missing_timeout`.
 };
 
-/// An answered or failed load request, as far as the record is concerned.
+/// The answer to a load request.
 struct poll_answer {
-    base::endpoint address;           ///< That was asked.
-    base::monotonic_time asked_at{};  ///< When the request left.
+    base::endpoint address;           ///< Where the request was sent.
+    base::monotonic_time asked_at{};  ///< When the request was sent.
     engine::load_report load;
 };
 
-/// One engine name over all its processes. Word of an older process never undoes word of a
-/// newer one; "leaving" sticks to the process it was said of.
+/// State of one engine name across restarts of its process. Reports about an older process
+/// never override those about a newer one; "leaving" applies only to the process that it was
+/// reported for.
 class backend_record {
   public:
-    /// @param limits outlive the record.
+    /// @param limits must outlive the record.
     backend_record(const tunables& limits, base::engine_name name);
 
-    /// The machine list has it.
+    /// Records that the machine list contains the engine.
     void record_listed(const platform::machine& machine, base::monotonic_time now);
-    /// The machine list lacks it.
+    /// Records that the machine list lacks the engine.
     void record_unlisted(base::monotonic_time now);
-    /// A load report came with an answer. @return whether it says that the engine is leaving
-    /// and this is news.
+    /// Records a load report that came with another answer.
+    /// @return whether the report says for the first time that the process is leaving.
     bool record_load(const engine::load_report& load, base::monotonic_time now);
-    /// A load request was answered. @return as above.
+    /// Records the answer to a load request.
+    /// @return whether the answer says for the first time that the process is leaving.
     bool record_poll(const poll_answer& answer, base::monotonic_time now);
+    /// Records that a load request failed.
     void record_poll_failure(base::monotonic_time now);
-    /// Doubts or suspects the engine, as the failure says, and wants a poll at once.
+    /// Records a failed exchange with the engine. Depending on the code the engine becomes
+    /// suspected, unconfirmed or leaving, and is polled at once.
     void record_failure(engine::error_code code, base::monotonic_time now);
-    /// @return whether it is news.
+    /// Records a report, from the engine or a peer, that `process` is leaving.
+    /// @return whether it is the first such report for that process.
     bool record_leaving(base::incarnation process, base::monotonic_time now);
+    /// Records an attempt that this router sent to the engine.
     void record_dispatch(std::uint64_t prefill_tokens, base::monotonic_time now);
+    /// Records that an attempt of this router ended before a load report covered it.
     void record_end();
 
     backend_health health(base::monotonic_time now) const;
-    /// @return whether it has been missing so long that it may be forgotten.
-    bool is_forgettable(base::monotonic_time now) const;
-    /// @return when it should next be asked for its load; nothing while a poll is under way.
+    /// @return whether the engine has been missing for long enough to remove its record.
+    bool can_be_removed(base::monotonic_time now) const;
+    /// @return when the next load request is due; nothing while one is in flight.
     std::optional<base::monotonic_time> next_poll() const;
-    /// A poll is under way until `record_poll` or `record_poll_failure`.
+    /// Marks a load request as in flight until `record_poll` or `record_poll_failure`.
     void begin_poll();
 
     engine_view view() const;
@@ -77,8 +85,8 @@
     void begin_process(base::incarnation process);
     void count_failure(base::monotonic_time now);
     void end_poll(base::monotonic_time now);
-    void suspect(base::monotonic_time now);
-    void doubt(base::monotonic_time now);
+    void mark_suspected(base::monotonic_time now);
+    void require_confirmation(base::monotonic_time now);
     bool is_list_leaving(base::monotonic_time now) const;
 
     const tunables* limits_;
@@ -86,17 +94,18 @@
     platform::machine machine_;
     std::optional<base::monotonic_time> missing_since_;
 
-    base::incarnation process_;  ///< Newest known; 0 before the first report.
-    /// The highest process that the engine or a peer called leaving; 0 for none.
+    base::incarnation process_;  ///< Newest known process; 0 before the first report.
+    /// The newest process that the engine or a peer reported as leaving; 0 for none.
     base::incarnation leaving_process_;
-    base::monotonic_time leaving_since_{};
-    /// The process that was known when the list began to say "leaving".
+    base::monotonic_time leaving_since_{};  ///< Time of the latest such report.
+    /// The process that was known when the machine list began to show the engine as leaving.
     base::incarnation list_leaving_process_;
-    base::monotonic_time listed_leaving_at_{};  ///< Last time that the list said so.
+    /// When a machine list last showed the engine as leaving.
+    base::monotonic_time listed_leaving_at_{};
     bool was_listed_leaving_ = false;
 
-    /// Set while a poll sent after that time must confirm who answers there.
-    std::optional<base::monotonic_time> doubted_since_;
+    /// If set, the engine is unconfirmed until it answers a poll sent at or after this time.
+    std::optional<base::monotonic_time> unconfirmed_since_;
     bool suspected_ = false;
     std::uint32_t failures_ = 0;
     std::uint32_t failed_polls_ = 0;
@@ -106,7 +115,7 @@
 
     engine::load_report load_;
     base::monotonic_time reported_at_{};
-    std::deque<dispatch> unreported_;  ///< Own dispatches that no report can show yet.
+    std::deque<dispatch> unreported_;  ///< Own dispatches newer than the last load report.
     std::uint32_t outstanding_ = 0;    ///< Own dispatches that have not ended.
 };
 
--- a/src/ferryroad/router/backends/backend_service.hpp
+++ b/src/ferryroad/router/backends/backend_service.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Keeps the directory of back ends up to date: reads the machine list, asks engines for their
-/// load, reads cache events of the engines that this router owns.
+/// Keeps the directory of back ends up to date: reads the machine list, polls engines for their
+/// load and reads the cache events of the engines that this router owns.
 #pragma once
 
 #include "ferryroad/engine/client.hpp"
@@ -17,8 +17,8 @@
 
 namespace ferryroad::router::backends {
 
-/// What the service works on; all outlive it.
-struct backend_neighbours {
+/// Collaborators of the service; all must outlive it.
+struct backend_service_collaborators {
     runtime::scheduler& scheduler;
     platform::machine_list& machines;
     engine::client& engines;
@@ -26,20 +26,22 @@
     cache_event_sink& events;
 };
 
-/// Used from the event loop's thread; kept until the loop has ended.
+/// Runs the loops that update the directory. Not thread safe: used from the event loop's thread
+/// only. Must exist until the event loop has ended.
 class backend_service {
   public:
-    /// Whether this router reads that engine's cache events now.
-    using ownership = std::function<bool(const base::engine_name&)>;
+    /// Returns whether this router currently has to read the engine's cache events.
+    using ownership_predicate = std::function<bool(const base::engine_name&)>;
 
-    backend_service(backend_neighbours neighbours, ownership owns, tunables limits = {});
+    backend_service(backend_service_collaborators collaborators, ownership_predicate is_owned,
+                    tunables limits = {});
 
     /// Starts the service's loops.
     void start();
-    /// Ends them soon: no new request leaves.
+    /// Asks the loops to end. They end when they next wake up.
     void stop();
 
-    /// Counts, for metrics and tests.
+    /// Event counts for metrics and tests.
     struct counters {
         std::uint64_t lists_read = 0;
         std::uint64_t lists_failed = 0;
@@ -50,7 +52,7 @@
     const counters& counts() const { return counters_; }
 
   private:
-    /// Up to where an engine's events were read.
+    /// Where the next read of an engine's events starts.
     struct event_position {
         base::incarnation process;
         std::uint64_t next_sequence = 1;
@@ -61,26 +63,27 @@
 
     runtime::task<void> poll_engines();
     base::monotonic_time next_poll_time() const;
-    /// Sends the load requests that are due, as far as their rate allows.
+    /// Sends the load requests that are due, within the rate limit.
     void send_due_polls();
+    /// Refills the rate limit's budget. @return how many requests may be sent now.
     std::size_t take_poll_budget();
-    runtime::task<void> poll(poll_order order);
+    runtime::task<void> poll(poll_request request);
 
-    runtime::task<void> follow_owned();
-    void drop_disowned();
+    runtime::task<void> read_owned_events();
+    void drop_unowned_positions();
     runtime::task<void> read_events(base::engine_name engine);
     runtime::task<bool> read_batch(engine::engine_target target);
 
-    backend_neighbours with_;
-    ownership owns_;
+    backend_service_collaborators collaborators_;
+    ownership_predicate is_owned_;
     tunables limits_;
     bool stopping_ = false;
-    std::uint32_t lists_failed_in_a_row_ = 0;
-    std::uint32_t polls_under_way_ = 0;
+    std::uint32_t consecutive_list_failures_ = 0;
+    std::uint32_t polls_in_flight_ = 0;
     double poll_budget_ = 0;
     base::monotonic_time budget_at_{};
     std::set<base::engine_name> event_readers_;
-    std::map<base::engine_name, event_position> positions_;  ///< Of owned engines.
+    std::map<base::engine_name, event_position> positions_;  ///< For owned engines.
     counters counters_;
 };
 
--- a/src/ferryroad/router/backends/cache_event_sink.hpp
+++ b/src/ferryroad/router/backends/cache_event_sink.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Where the cache events of engines go that this router reads for all routers.
+/// Interface to the consumer of engines' cache events.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -7,12 +7,14 @@
 
 namespace ferryroad::router::backends {
 
-/// Implemented by the prefix index. Used from the event loop's thread.
+/// Receives the cache events of the engines that this router reads on behalf of all routers.
+/// Used from the event loop's thread only.
 class cache_event_sink {
   public:
     virtual ~cache_event_sink() = default;
-    /// Batches of one engine come in the order of their sequence. `batch.gap`, or an
-    /// incarnation other than before, voids what was known of the engine's cache.
+    /// Accepts the next batch of an engine's events. Batches of one engine arrive in sequence
+    /// order. If `batch.gap` is set or the incarnation differs from the previous batch's,
+    /// everything known about the engine's cache is invalid.
     virtual void accept(const base::engine_name& engine,
                         const engine::cache_event_batch& batch) = 0;
 };
--- a/src/ferryroad/router/backends/tunables.hpp
+++ b/src/ferryroad/router/backends/tunables.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How often a router asks about the back ends, and how long it believes what it heard.
+/// Intervals, timeouts and limits of discovering and polling back ends.
 #pragma once
 
 #include "ferryroad/base/time.hpp"
@@ -8,33 +8,40 @@
 
 namespace ferryroad::router::backends {
 
+/// Settings of `backend_directory` and `backend_service`.
 struct tunables {
-    /// Between two readings of the machine list, give or take `list_jitter`.
+    /// Time between two reads of the machine list, before jitter.
     base::duration list_interval = std::chrono::seconds(2);
+    /// Largest random deviation of that time, as a fraction of it.
     double list_jitter = 0.25;
-    /// Longest pause between readings while the list can't be had.
+    /// Longest pause between reads while reading the machine list fails.
     base::duration list_backoff_limit = std::chrono::seconds(10);
-    /// An engine missing from every list for so long gets no new work.
-    base::duration missing_hold = std::chrono::seconds(3);
-    /// An engine missing for so long is forgotten.
-    base::duration forget_after = std::chrono::minutes(10);
-    /// A list that says "live" again of the same process is believed after so long; an engine's
-    /// own "not leaving" is believed if asked for so long after the "leaving".
-    base::duration leaving_hold = std::chrono::seconds(5);
-    /// Engines whose load was heard within this time are not asked.
+    /// An engine that has been missing from the machine list for this long gets no new work.
+    base::duration missing_timeout = std::chrono::seconds(3);
+    /// The record of an engine that has been missing for this long is removed.
+    base::duration removal_timeout = std::chrono::minutes(10);
+    /// How long a "leaving" report outweighs contrary ones about the same process. A machine
+    /// list that shows the engine as live counts after this time; the engine's own "not
+    /// leaving" counts if the load request was sent at least this long after the report.
+    base::duration leaving_hold_down = std::chrono::seconds(5);
+    /// An engine whose load was reported within this time is not polled.
     base::duration poll_interval = std::chrono::milliseconds(500);
-    /// Load requests a second to all engines together.
+    /// Rate limit of load requests to all engines together, per second.
     double polls_per_second = 20;
-    std::uint32_t polls_at_once = 64;  ///< And after a pause.
-    /// Between polls of an engine that doesn't answer: doubled from the first to the last.
+    /// Most load requests in flight, and largest burst after an idle period.
+    std::uint32_t max_polls_in_flight = 64;
+    /// First pause between polls of an engine that doesn't answer; doubles with each failure.
     base::duration poll_backoff = std::chrono::milliseconds(250);
+    /// Longest pause between polls of an engine that doesn't answer.
     base::duration poll_backoff_limit = std::chrono::seconds(4);
-    /// Failed exchanges in a row that make an engine suspected; a refused connection is enough.
-    std::uint32_t failures_to_suspect = 2;
-    /// One request for cache events waits so long for something new.
+    /// Consecutive failed exchanges after which an engine is suspected. A failure to connect
+    /// makes it suspected at once.
+    std::uint32_t suspicion_threshold = 2;
+    /// How long a request for cache events waits for new events (long poll).
     base::duration event_wait = std::chrono::seconds(10);
+    /// Pause after a failed request for cache events.
     base::duration event_backoff = std::chrono::milliseconds(500);
-    /// Between two looks at which engines' events are this router's to read.
+    /// How often the service checks which engines' cache events this router has to read.
     base::duration ownership_interval = std::chrono::seconds(1);
 };
 
--- a/test/router/backends/backend_directory_property_test.cpp
+++ b/test/router/backends/backend_directory_property_test.cpp
@@ -1,5 +1,6 @@
-/// Random words in random order: an engine that said "leaving" gets no work while that process
-/// lives, an older process never comes back, a drained engine stays out.
+/// Property test with random reports in random order. An engine that reported "leaving" must get
+/// no work while that process lives, an older process must never replace a newer one, and a
+/// drained engine must stay unavailable.
 #include "test/router/backends/directory_fixture.hpp"
 
 #include <criterion/criterion.h>
@@ -12,11 +13,11 @@
 
 namespace {
 
-/// One engine whose true story is kept beside the directory.
-class random_story {
+/// Drives a directory with one engine and tracks the engine's actual state for comparison.
+class random_event_run {
   public:
     void step() {
-        bench_.clock.time += std::chrono::milliseconds(*rc::gen::inRange(0, 900));
+        fixture_.clock.time += std::chrono::milliseconds(*rc::gen::inRange(0, 900));
         switch (*rc::gen::inRange(0, 9)) {
             case 0:
                 restart();
@@ -25,25 +26,25 @@
                 leaving_ = true;
                 break;
             case 2:
-                bench_.list(*rc::gen::element(platform::machine_state::live,
-                                              platform::machine_state::leaving));
+                fixture_.list(*rc::gen::element(platform::machine_state::live,
+                                                platform::machine_state::leaving));
                 break;
             case 3:
-                hear_leaving(base::incarnation(process_ - *rc::gen::inRange(0, 2)));
+                report_leaving(base::incarnation(process_ - *rc::gen::inRange(0, 2)));
                 break;
             case 4:
-                bench_.directory.record_failure(
+                fixture_.directory.record_failure(
                     e1, *rc::gen::element(engine::error_code::connect_failed,
                                           engine::error_code::timed_out,
                                           engine::error_code::refused_incarnation));
                 break;
             case 5:
                 drained_ = !drained_;
-                bench_.configuration.drain(
+                fixture_.configuration.drain(
                     pool, drained_ ? std::vector{e1} : std::vector<base::engine_name>{});
                 break;
             case 6:
-                hear_report(report_of(*rc::gen::inRange<std::uint64_t>(1, process_ + 1), false));
+                deliver_report(report_of(*rc::gen::inRange<std::uint64_t>(1, process_ + 1), false));
                 break;
             default:
                 answer_poll();
@@ -58,61 +59,61 @@
         leaving_ = false;
     }
 
-    void hear_leaving(base::incarnation process) {
-        bench_.directory.record_leaving(e1, process);
-        note_leaving(process.value);
+    void report_leaving(base::incarnation process) {
+        fixture_.directory.record_leaving(e1, process);
+        expect_leaving(process.value);
     }
 
-    void hear_report(const engine::load_report& load) {
-        bench_.directory.record_load(e1, load);
-        heard_process_ = std::max(heard_process_, load.incarnation.value);
+    void deliver_report(const engine::load_report& load) {
+        fixture_.directory.record_load(e1, load);
+        newest_process_ = std::max(newest_process_, load.incarnation.value);
     }
 
     void answer_poll() {
-        bench_.poll(report_of(process_, leaving_));
-        heard_process_ = process_;
+        fixture_.poll(report_of(process_, leaving_));
+        newest_process_ = process_;
         if (leaving_) {
-            note_leaving(process_);
-        } else if (bench_.clock.time - left_at_ >= bench_.limits.leaving_hold) {
-            left_process_ = 0;  // it says itself, freshly asked, that it stays
+            expect_leaving(process_);
+        } else if (fixture_.clock.time - leaving_since_ >= fixture_.limits.leaving_hold_down) {
+            leaving_process_ = 0;  // A poll sent after the hold-down time says "not leaving".
         }
     }
 
-    void note_leaving(std::uint64_t process) {
-        if (process >= heard_process_) {
-            left_process_ = std::max(left_process_, process);
-            left_at_ = bench_.clock.time;
+    void expect_leaving(std::uint64_t process) {
+        if (process >= newest_process_) {
+            leaving_process_ = std::max(leaving_process_, process);
+            leaving_since_ = fixture_.clock.time;
         }
     }
 
     void check() const {
-        const std::optional<engine_view> seen = bench_.directory.find(e1);
-        RC_ASSERT(seen.has_value() == !bench_.directory.available(pool).empty());
+        const std::optional<engine_view> seen = fixture_.directory.find(e1);
+        RC_ASSERT(seen.has_value() == !fixture_.directory.available(pool).empty());
         if (!seen) {
             return;
         }
         RC_ASSERT(!drained_);
-        RC_ASSERT(seen->target.incarnation.value == heard_process_);
-        RC_ASSERT(left_process_ < heard_process_);
+        RC_ASSERT(seen->target.incarnation.value == newest_process_);
+        RC_ASSERT(leaving_process_ < newest_process_);
     }
 
-    directory_bench bench_;
+    directory_fixture fixture_;
     std::uint64_t process_ = 2;
     bool leaving_ = false;
     bool drained_ = false;
-    std::uint64_t heard_process_ = 0;
-    std::uint64_t left_process_ = 0;
-    base::monotonic_time left_at_{};
+    std::uint64_t newest_process_ = 0;
+    std::uint64_t leaving_process_ = 0;
+    base::monotonic_time leaving_since_{};
 };
 
 }  // namespace
 
-Test(backend_directory, random_words) {
+Test(backend_directory, random_reports) {
     cr_assert(rc::check("leaving sticks, processes only rise, drains hold", [] {
-        random_story story;
+        random_event_run run;
         const int steps = *rc::gen::inRange(1, 80);
         for (int step = 0; step < steps; ++step) {
-            story.step();
+            run.step();
         }
     }));
 }
--- a/test/router/backends/backend_directory_test.cpp
+++ b/test/router/backends/backend_directory_test.cpp
@@ -1,4 +1,4 @@
-/// Which word about a back end counts, from whom and when, as tables.
+/// Table tests of which reports about a back end take effect, depending on source and timing.
 #include "test/router/backends/directory_fixture.hpp"
 
 #include <criterion/criterion.h>
@@ -15,45 +15,45 @@
 
 namespace {
 
-/// What happens to a live engine e1 of process 5, and whether it may get new work after it.
+/// Events that affect a live engine e1 with process 5, and whether it is available afterwards.
 struct row {
     const char* name;
-    std::function<void(directory_bench&)> happens;
+    std::function<void(directory_fixture&)> happens;
     bool available;
 };
 
 const std::vector<row>& rows() {
-    using bench = directory_bench;
+    using fixture = directory_fixture;
     static const std::vector<row> table = {
-        {"nothing", [](bench&) {}, true},
-        {"list says leaving", [](bench& b) { b.list(machine_state::leaving); }, false},
+        {"nothing", [](fixture&) {}, true},
+        {"list says leaving", [](fixture& b) { b.list(machine_state::leaving); }, false},
         {"engine's answer says leaving",
-         [](bench& b) { b.directory.record_load(e1, report_of(5, true)); }, false},
-        {"engine's poll says leaving", [](bench& b) { b.poll(report_of(5, true)); }, false},
+         [](fixture& b) { b.directory.record_load(e1, report_of(5, true)); }, false},
+        {"engine's poll says leaving", [](fixture& b) { b.poll(report_of(5, true)); }, false},
         {"engine refuses as leaving",
-         [](bench& b) { b.directory.record_failure(e1, error_code::refused_leaving); }, false},
+         [](fixture& b) { b.directory.record_failure(e1, error_code::refused_leaving); }, false},
         {"a peer says leaving",
-         [](bench& b) { b.directory.record_leaving(e1, base::incarnation(5)); }, false},
+         [](fixture& b) { b.directory.record_leaving(e1, base::incarnation(5)); }, false},
         {"a peer says that an older process is leaving",
-         [](bench& b) { b.directory.record_leaving(e1, base::incarnation(4)); }, true},
+         [](fixture& b) { b.directory.record_leaving(e1, base::incarnation(4)); }, true},
         {"a peer says that a newer process is leaving",
-         [](bench& b) { b.directory.record_leaving(e1, base::incarnation(6)); }, false},
-        {"an operator drains it", [](bench& b) { b.configuration.drain(pool, {e1}); }, false},
+         [](fixture& b) { b.directory.record_leaving(e1, base::incarnation(6)); }, false},
+        {"an operator drains it", [](fixture& b) { b.configuration.drain(pool, {e1}); }, false},
         {"drained, then not",
-         [](bench& b) {
+         [](fixture& b) {
              b.configuration.drain(pool, {e1});
              b.configuration.drain(pool, {});
          },
          true},
         {"leaving by itself, then a stale list says live",
-         [](bench& b) {
+         [](fixture& b) {
              b.directory.record_leaving(e1, base::incarnation(5));
              b.clock.time += 10s;
              b.list();
          },
          false},
         {"list says leaving, then a stale list says live",
-         [](bench& b) {
+         [](fixture& b) {
              b.list(machine_state::leaving);
              b.clock.time += 1s;
              b.list();
@@ -61,125 +61,126 @@
          },
          false},
         {"list says live for long after leaving",
-         [](bench& b) {
+         [](fixture& b) {
              b.list(machine_state::leaving);
-             b.clock.time += b.limits.leaving_hold;
+             b.clock.time += b.limits.leaving_hold_down;
              b.list();
          },
          true},
         {"list says leaving again and again over the hold",
-         [](bench& b) {
+         [](fixture& b) {
              b.list(machine_state::leaving);
-             b.clock.time += b.limits.leaving_hold;
+             b.clock.time += b.limits.leaving_hold_down;
              b.list(machine_state::leaving);
              b.clock.time += 1s;
              b.list();
          },
          false},
         {"list says live and a new process answers",
-         [](bench& b) {
+         [](fixture& b) {
              b.list(machine_state::leaving);
              b.list();
              b.poll(report_of(6));
          },
          true},
         {"a new process after one that left",
-         [](bench& b) {
+         [](fixture& b) {
              b.poll(report_of(5, true));
              b.poll(report_of(6));
          },
          true},
         {"left, and a late answer from before says not leaving",
-         [](bench& b) {
+         [](fixture& b) {
              b.directory.record_leaving(e1, base::incarnation(5));
              b.clock.time += 10s;
              b.directory.record_load(e1, report_of(5, false));
          },
          false},
         {"left, and a poll from before says not leaving",
-         [](bench& b) {
+         [](fixture& b) {
              b.directory.record_leaving(e1, base::incarnation(5));
              b.clock.time += 1s;
              b.poll(report_of(5, false), 1500ms);
          },
          false},
         {"left, and long after it says itself that it is not leaving",
-         [](bench& b) {
+         [](fixture& b) {
              b.directory.record_leaving(e1, base::incarnation(5));
-             b.clock.time += b.limits.leaving_hold;
+             b.clock.time += b.limits.leaving_hold_down;
              b.poll(report_of(5, false));
          },
          true},
-        {"an answer of an older process", [](bench& b) { b.poll(report_of(4)); }, false},
+        {"an answer of an older process", [](fixture& b) { b.poll(report_of(4)); }, false},
         {"another engine answers at its address",
-         [](bench& b) { b.poll(report_of(9, false, "e2")); }, false},
-        {"its address changes", [](bench& b) { b.list(machine_state::live, 2); }, false},
+         [](fixture& b) { b.poll(report_of(9, false, "e2")); }, false},
+        {"its address changes", [](fixture& b) { b.list(machine_state::live, 2); }, false},
         {"its address changes and it answers there",
-         [](bench& b) {
+         [](fixture& b) {
              b.list(machine_state::live, 2);
              b.poll(report_of(6), 0ms, 2);
          },
          true},
         {"its address changes and the old one answers",
-         [](bench& b) {
+         [](fixture& b) {
              b.list(machine_state::live, 2);
              b.poll(report_of(5), 0ms, 1);
          },
          false},
-        {"missing from one list", [](bench& b) { b.directory.apply_list({}); }, true},
+        {"missing from one list", [](fixture& b) { b.directory.apply_list({}); }, true},
         {"missing for long",
-         [](bench& b) {
+         [](fixture& b) {
              b.directory.apply_list({});
-             b.clock.time += b.limits.missing_hold;
+             b.clock.time += b.limits.missing_timeout;
          },
          false},
         {"no connection",
-         [](bench& b) { b.directory.record_failure(e1, error_code::connect_failed); }, false},
+         [](fixture& b) { b.directory.record_failure(e1, error_code::connect_failed); }, false},
         {"one lost connection",
-         [](bench& b) { b.directory.record_failure(e1, error_code::connection_lost); }, true},
+         [](fixture& b) { b.directory.record_failure(e1, error_code::connection_lost); }, true},
         {"two failures in a row",
-         [](bench& b) {
+         [](fixture& b) {
              b.directory.record_failure(e1, error_code::connection_lost);
              b.directory.record_failure(e1, error_code::timed_out);
          },
          false},
         {"two failures with an answer between",
-         [](bench& b) {
+         [](fixture& b) {
              b.directory.record_failure(e1, error_code::connection_lost);
              b.directory.record_load(e1, report_of(5));
              b.directory.record_failure(e1, error_code::timed_out);
          },
          true},
         {"suspected, then an answer",
-         [](bench& b) {
+         [](fixture& b) {
              b.directory.record_failure(e1, error_code::connect_failed);
              b.directory.record_load(e1, report_of(5));
          },
          false},
         {"suspected, then a poll from before",
-         [](bench& b) {
+         [](fixture& b) {
              b.directory.record_failure(e1, error_code::connect_failed);
              b.poll(report_of(5), 1ms);
          },
          false},
         {"suspected, then a poll",
-         [](bench& b) {
+         [](fixture& b) {
              b.directory.record_failure(e1, error_code::connect_failed);
              b.poll(report_of(5));
          },
          true},
         {"it refuses the incarnation",
-         [](bench& b) { b.directory.record_failure(e1, error_code::refused_incarnation); }, false},
+         [](fixture& b) { b.directory.record_failure(e1, error_code::refused_incarnation); },
+         false},
         {"it refuses the incarnation, then a poll",
-         [](bench& b) {
+         [](fixture& b) {
              b.directory.record_failure(e1, error_code::refused_incarnation);
              b.poll(report_of(6));
          },
          true},
         {"it is overloaded",
-         [](bench& b) { b.directory.record_failure(e1, error_code::refused_overloaded); }, true},
+         [](fixture& b) { b.directory.record_failure(e1, error_code::refused_overloaded); }, true},
         {"it refuses a bad request",
-         [](bench& b) {
+         [](fixture& b) {
              b.directory.record_failure(e1, error_code::refused_bad_request);
              b.directory.record_failure(e1, error_code::refused_bad_request);
          },
@@ -190,7 +191,7 @@
 
 }  // namespace
 
-ParameterizedTestParameters(backend_directory, words) {
+ParameterizedTestParameters(backend_directory, reports) {
     static std::vector<std::size_t> indexes;
     for (std::size_t index = 0; index < rows().size(); ++index) {
         indexes.push_back(index);
@@ -198,72 +199,73 @@
     return cr_make_param_array(std::size_t, indexes.data(), indexes.size());
 }
 
-ParameterizedTest(std::size_t* index, backend_directory, words) {
+ParameterizedTest(std::size_t* index, backend_directory, reports) {
     const row& expected = rows()[*index];
-    directory_bench bench;
-    bench.list();
-    cr_assert(!bench.available(), "no process known yet");
-    bench.poll(report_of(5));
-    cr_assert(bench.available());
-    expected.happens(bench);
-    cr_assert_eq(bench.available(), expected.available, "%s", expected.name);
-    cr_assert_eq(bench.directory.available(pool).size(), expected.available ? 1U : 0U, "%s",
+    directory_fixture fixture;
+    fixture.list();
+    cr_assert(!fixture.available(), "no process known yet");
+    fixture.poll(report_of(5));
+    cr_assert(fixture.available());
+    expected.happens(fixture);
+    cr_assert_eq(fixture.available(), expected.available, "%s", expected.name);
+    cr_assert_eq(fixture.directory.available(pool).size(), expected.available ? 1U : 0U, "%s",
                  expected.name);
 }
 
 Test(backend_directory, load_is_corrected_by_own_dispatches) {
-    directory_bench bench;
-    bench.list();
-    bench.poll(report_of(5));
-    bench.directory.record_dispatch(e1, 100);
-    bench.clock.time += 300ms;
-    bench.directory.record_dispatch(e1, 20);
-    engine_view seen = *bench.directory.find(e1);
+    directory_fixture fixture;
+    fixture.list();
+    fixture.poll(report_of(5));
+    fixture.directory.record_dispatch(e1, 100);
+    fixture.clock.time += 300ms;
+    fixture.directory.record_dispatch(e1, 20);
+    engine_view seen = *fixture.directory.find(e1);
     cr_assert(seen.own_requests_since == 2U && seen.own_prefill_tokens_since == 120U);
     engine::load_report late = report_of(5);
     late.age = 200ms;
-    bench.directory.record_load(e1, late);
-    seen = *bench.directory.find(e1);
+    fixture.directory.record_load(e1, late);
+    seen = *fixture.directory.find(e1);
     cr_assert(seen.own_requests_since == 1U && seen.own_prefill_tokens_since == 20U,
               "the report is from between the two");
-    bench.directory.record_end(e1);  // the first one's end: the second is still under way
-    cr_assert_eq(bench.directory.find(e1)->own_requests_since, 1U);
-    bench.directory.record_end(e1);
-    cr_assert_eq(bench.directory.find(e1)->own_requests_since, 0U);
+    fixture.directory.record_end(e1);  // The first dispatch ended; the second is still running.
+    cr_assert_eq(fixture.directory.find(e1)->own_requests_since, 1U);
+    fixture.directory.record_end(e1);
+    cr_assert_eq(fixture.directory.find(e1)->own_requests_since, 0U);
 }
 
-Test(backend_directory, news_of_leaving_is_told_once) {
-    directory_bench bench;
-    std::vector<std::uint64_t> told;
-    bench.directory.on_leaving([&](const base::engine_name& engine, base::incarnation process) {
+Test(backend_directory, leaving_is_reported_once) {
+    directory_fixture fixture;
+    std::vector<std::uint64_t> reported;
+    fixture.directory.on_leaving([&](const base::engine_name& engine, base::incarnation process) {
         cr_assert(engine == e1);
-        told.push_back(process.value);
+        reported.push_back(process.value);
     });
-    bench.list();
-    bench.poll(report_of(5));
-    bench.directory.record_load(e1, report_of(5, true));
-    bench.poll(report_of(5, true));
-    bench.directory.record_leaving(e1, base::incarnation(5));
-    bench.directory.record_leaving(e1, base::incarnation(4));
-    bench.poll(report_of(6, true));
-    cr_assert(told == std::vector<std::uint64_t>({5, 6}));
+    fixture.list();
+    fixture.poll(report_of(5));
+    fixture.directory.record_load(e1, report_of(5, true));
+    fixture.poll(report_of(5, true));
+    fixture.directory.record_leaving(e1, base::incarnation(5));
+    fixture.directory.record_leaving(e1, base::incarnation(4));
+    fixture.poll(report_of(6, true));
+    cr_assert(reported == std::vector<std::uint64_t>({5, 6}));
 }
 
-Test(backend_directory, polls_back_off_and_failures_hurry_them) {
-    directory_bench bench;
-    bench.list();
-    cr_assert_eq(bench.directory.begin_polls(9).size(), 1U);
-    cr_assert(bench.directory.begin_polls(9).empty(), "one is under way");
+Test(backend_directory, polls_back_off_and_failures_trigger_a_poll) {
+    directory_fixture fixture;
+    fixture.list();
+    cr_assert_eq(fixture.directory.begin_polls(9).size(), 1U);
+    cr_assert(fixture.directory.begin_polls(9).empty(), "one is under way");
     std::vector<std::int64_t> pauses;
     for (int failed = 0; failed < 6; ++failed) {
-        bench.directory.record_poll_failure(e1);
-        pauses.push_back(base::to_milliseconds(*bench.directory.next_poll() - bench.clock.time));
-        bench.clock.time = *bench.directory.next_poll();
-        cr_assert_eq(bench.directory.begin_polls(9).size(), 1U);
+        fixture.directory.record_poll_failure(e1);
+        pauses.push_back(
+            base::to_milliseconds(*fixture.directory.next_poll() - fixture.clock.time));
+        fixture.clock.time = *fixture.directory.next_poll();
+        cr_assert_eq(fixture.directory.begin_polls(9).size(), 1U);
     }
     cr_assert(pauses == std::vector<std::int64_t>({250, 500, 1000, 2000, 4000, 4000}));
-    bench.poll(report_of(5));
-    cr_assert(bench.directory.begin_polls(9).empty());
-    bench.directory.record_failure(e1, error_code::connection_lost);
-    cr_assert_eq(bench.directory.begin_polls(9).size(), 1U);
+    fixture.poll(report_of(5));
+    cr_assert(fixture.directory.begin_polls(9).empty());
+    fixture.directory.record_failure(e1, error_code::connection_lost);
+    cr_assert_eq(fixture.directory.begin_polls(9).size(), 1U);
 }
--- a/test/router/backends/backend_service_test.cpp
+++ b/test/router/backends/backend_service_test.cpp
@@ -1,4 +1,4 @@
-/// The service's loops in virtual time, against a machine list and engines made by hand.
+/// Tests of the service's loops in virtual time, against a fake machine list and fake engines.
 #include "ferryroad/router/backends/backend_service.hpp"
 
 #include "bench/simulation/virtual_scheduler.hpp"
@@ -39,7 +39,7 @@
     }
 };
 
-/// Engines by port; only what the service calls is there.
+/// Fake engines by port. Only the calls that the service makes are implemented.
 struct manual_engines final : engine::client {
     template <typename T>
     using answer = runtime::task<engine::result<T>>;
@@ -47,7 +47,7 @@
 
     std::map<std::uint16_t, engine::load_report> loads;
     std::map<std::uint16_t, std::uint32_t> polls;
-    std::map<base::engine_name, engine::cache_event_batch> events;  ///< Given once each.
+    std::map<base::engine_name, engine::cache_event_batch> events;  ///< Each is returned once.
     std::vector<engine::engine_target> event_reads;
     std::vector<std::uint64_t> event_reads_from;
     runtime::scheduler& scheduler;
@@ -109,7 +109,7 @@
     }
 };
 
-struct service_bench {
+struct service_fixture {
     bench::simulation::virtual_time time{1};
     bench::simulation::virtual_scheduler scheduler{time, 1};
     manual_configuration configuration;
@@ -122,8 +122,8 @@
     backend_service service{{scheduler, machines, engines, directory, events},
                             [this](const base::engine_name& name) { return owned.contains(name); }};
 
-    /// Engines e1 to e`count` at ports 1 to `count`, all live.
-    explicit service_bench(std::uint16_t count) {
+    /// Sets up live engines e1 to e`count` at ports 1 to `count`.
+    explicit service_fixture(std::uint16_t count) {
         for (std::uint16_t port = 1; port <= count; ++port) {
             const std::string name = "e" + std::to_string(port);
             machines.machines.push_back(machine_of(name, port));
@@ -131,7 +131,7 @@
         }
         scheduler.run([this] { service.start(); });
     }
-    ~service_bench() { scheduler.kill(); }
+    ~service_fixture() { scheduler.kill(); }
 
     void pass(base::duration span) { time.run_until(time.now() + span); }
     std::size_t available() { return directory.available(pool).size(); }
@@ -155,20 +155,22 @@
 
 }  // namespace
 
-Test(backend_service, a_fresh_router_knows_its_engines_at_once) {
-    service_bench bench(20);
-    bench.pass(1ms);
-    cr_assert_eq(bench.available(), 20U);
+Test(backend_service, all_engines_are_polled_at_startup) {
+    service_fixture fixture(20);
+    fixture.pass(1ms);
+    cr_assert_eq(fixture.available(), 20U);
 }
 
-Test(backend_service, polls_keep_to_their_rate_and_pass_over_fresh_loads) {
-    service_bench bench(200);
-    bench.pass(10s);
-    cr_assert_eq(bench.available(), 200U);
-    const double most = bench.limits.polls_at_once + 10 * bench.limits.polls_per_second;
-    cr_assert(bench.polls() <= most && bench.polls() >= 0.9 * most, "%u", bench.polls());
+Test(backend_service, polls_respect_the_rate_limit_and_skip_recently_reported_loads) {
+    service_fixture fixture(200);
+    fixture.pass(10s);
+    cr_assert_eq(fixture.available(), 200U);
+    const double max_polls =
+        fixture.limits.max_polls_in_flight + 10 * fixture.limits.polls_per_second;
+    cr_assert(fixture.polls() <= max_polls && fixture.polls() >= 0.9 * max_polls, "%u",
+              fixture.polls());
 
-    service_bench small(1);
+    service_fixture small(1);
     small.pass(1ms);
     for (int round = 0; round < 50; ++round) {
         small.scheduler.run([&] { small.directory.record_load(e1, report_of(5)); });
@@ -177,76 +179,76 @@
     cr_assert_eq(small.polls(), 1U, "answers brought the load all along");
 }
 
-Test(backend_service, a_failure_is_looked_into_at_once) {
-    service_bench bench(2);
-    bench.pass(100ms);
-    bench.engines.loads.erase(1);
-    const std::uint32_t before = bench.engines.polls[1];
-    bench.scheduler.run([&] { bench.directory.record_failure(e1, error_code::timed_out); });
-    cr_assert_eq(bench.engines.polls[1], before + 1, "no time has passed");
-    cr_assert_eq(bench.available(), 1U, "two failures in a row");
-    bench.engines.loads[1] = report_of(6);
-    bench.pass(2 * bench.limits.poll_backoff);
-    cr_assert_eq(bench.available(), 2U);
-    cr_assert_eq(bench.directory.find(e1)->target.incarnation.value, 6U);
+Test(backend_service, a_failure_triggers_a_poll_at_once) {
+    service_fixture fixture(2);
+    fixture.pass(100ms);
+    fixture.engines.loads.erase(1);
+    const std::uint32_t before = fixture.engines.polls[1];
+    fixture.scheduler.run([&] { fixture.directory.record_failure(e1, error_code::timed_out); });
+    cr_assert_eq(fixture.engines.polls[1], before + 1, "no time has passed");
+    cr_assert_eq(fixture.available(), 1U, "two failures in a row");
+    fixture.engines.loads[1] = report_of(6);
+    fixture.pass(2 * fixture.limits.poll_backoff);
+    cr_assert_eq(fixture.available(), 2U);
+    cr_assert_eq(fixture.directory.find(e1)->target.incarnation.value, 6U);
 }
 
-Test(backend_service, an_outage_of_the_list_keeps_the_engines_and_backs_off) {
-    service_bench bench(3);
-    bench.pass(100ms);
-    bench.machines.outage = true;
-    bench.pass(60s);
-    cr_assert_eq(bench.available(), 3U);
-    const std::vector<base::monotonic_time>& reads = bench.machines.read_at;
+Test(backend_service, an_unavailable_machine_list_keeps_the_engines_and_backs_off) {
+    service_fixture fixture(3);
+    fixture.pass(100ms);
+    fixture.machines.outage = true;
+    fixture.pass(60s);
+    cr_assert_eq(fixture.available(), 3U);
+    const std::vector<base::monotonic_time>& reads = fixture.machines.read_at;
     cr_assert(reads.size() >= 5U && reads.size() <= 15U, "%zu", reads.size());
     const base::duration last = reads[reads.size() - 1] - reads[reads.size() - 2];
-    cr_assert(last >= 0.7 * bench.limits.list_backoff_limit);
-    bench.machines.outage = false;
-    bench.machines.machines[0].state = platform::machine_state::leaving;
-    bench.pass(13s);
-    cr_assert_eq(bench.available(), 2U);
+    cr_assert(last >= 0.7 * fixture.limits.list_backoff_limit);
+    fixture.machines.outage = false;
+    fixture.machines.machines[0].state = platform::machine_state::leaving;
+    fixture.pass(13s);
+    cr_assert_eq(fixture.available(), 2U);
 }
 
-Test(backend_service, events_are_read_by_the_owner_alone_and_on_from_where_they_stood) {
-    service_bench bench(2);
-    bench.owned = {e1};
-    bench.engines.events[e1] = batch_of(5, 4);
-    bench.pass(3s);
-    cr_assert_eq(bench.events.batches.size(), 1U);
-    cr_assert(bench.events.batches[0].first == e1);
-    for (const engine::engine_target& target : bench.engines.event_reads) {
+Test(backend_service, events_are_read_only_by_the_owner_and_resume_at_their_position) {
+    service_fixture fixture(2);
+    fixture.owned = {e1};
+    fixture.engines.events[e1] = batch_of(5, 4);
+    fixture.pass(3s);
+    cr_assert_eq(fixture.events.batches.size(), 1U);
+    cr_assert(fixture.events.batches[0].first == e1);
+    for (const engine::engine_target& target : fixture.engines.event_reads) {
         cr_assert(target.name == e1, "only owned engines are read");
     }
-    cr_assert(bench.engines.event_reads_from == std::vector<std::uint64_t>({1, 4}));
+    cr_assert(fixture.engines.event_reads_from == std::vector<std::uint64_t>({1, 4}));
 
     engine::cache_event_batch restarted = batch_of(6, 2);
     restarted.gap = true;
-    bench.engines.events[e1] = restarted;
-    bench.pass(bench.limits.event_wait * 2);
-    cr_assert_eq(bench.events.batches.size(), 2U);
-    cr_assert_eq(bench.engines.event_reads.back().incarnation.value, 6U);
-    cr_assert_eq(bench.engines.event_reads_from.back(), 2U);
-
-    bench.owned.clear();
-    bench.pass(bench.limits.event_wait * 2);
-    const std::size_t reads = bench.engines.event_reads.size();
-    bench.engines.events[e1] = batch_of(6, 3);
-    bench.pass(1min);
-    cr_assert_eq(bench.engines.event_reads.size(), reads, "no longer the owner");
-    bench.owned = {e1};
-    bench.pass(2s);
-    cr_assert_eq(bench.engines.event_reads_from[reads], 1U, "an owner anew reads all");
+    fixture.engines.events[e1] = restarted;
+    fixture.pass(fixture.limits.event_wait * 2);
+    cr_assert_eq(fixture.events.batches.size(), 2U);
+    cr_assert_eq(fixture.engines.event_reads.back().incarnation.value, 6U);
+    cr_assert_eq(fixture.engines.event_reads_from.back(), 2U);
+
+    fixture.owned.clear();
+    fixture.pass(fixture.limits.event_wait * 2);
+    const std::size_t reads = fixture.engines.event_reads.size();
+    fixture.engines.events[e1] = batch_of(6, 3);
+    fixture.pass(1min);
+    cr_assert_eq(fixture.engines.event_reads.size(), reads, "no longer the owner");
+    fixture.owned = {e1};
+    fixture.pass(2s);
+    cr_assert_eq(fixture.engines.event_reads_from[reads], 1U, "an owner anew reads all");
 }
 
 Test(backend_service, stops) {
-    service_bench bench(1);
-    bench.pass(1s);
-    bench.scheduler.run([&] { bench.service.stop(); });
-    bench.pass(1min);
-    const std::uint32_t polls = bench.polls();
-    const std::size_t lists = bench.machines.read_at.size();
-    bench.pass(1min);
-    cr_assert_eq(bench.polls(), polls);
-    cr_assert_eq(bench.machines.read_at.size(), lists);
-    cr_assert(bench.time.failures().empty());
+    service_fixture fixture(1);
+    fixture.pass(1s);
+    fixture.scheduler.run([&] { fixture.service.stop(); });
+    fixture.pass(1min);
+    const std::uint32_t polls = fixture.polls();
+    const std::size_t lists = fixture.machines.read_at.size();
+    fixture.pass(1min);
+    cr_assert_eq(fixture.polls(), polls);
+    cr_assert_eq(fixture.machines.read_at.size(), lists);
+    cr_assert(fixture.time.failures().empty());
 }
--- a/test/router/backends/directory_fixture.hpp
+++ b/test/router/backends/directory_fixture.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A directory with a clock and a configuration that tests set by hand.
+/// A directory with a clock and a configuration that tests control.
 #pragma once
 
 #include "ferryroad/router/backends/backend_directory.hpp"
@@ -51,7 +51,7 @@
     return load;
 }
 
-struct directory_bench {
+struct directory_fixture {
     manual_clock clock;
     manual_configuration configuration;
     tunables limits;
