--- a/src/ferryroad/router/claims/claim_rows.cpp
+++ b/src/ferryroad/router/claims/claim_rows.cpp
@@ -16,12 +16,12 @@
     return platform::row_version(version.value);
 }
 
-recorded_outcome from_kept_outcome(const claims::outcome& kept) {
+recorded_outcome from_stored_outcome(const claims::outcome& stored) {
     recorded_outcome outcome;
     outcome.execution = core::execution::execution_report::complete;
-    outcome.status = kept.status;
-    outcome.content_type = kept.content_type;
-    outcome.body = kept.body;
+    outcome.status = stored.status;
+    outcome.content_type = stored.content_type;
+    outcome.body = stored.body;
     return outcome;
 }
 
@@ -45,18 +45,18 @@
 }
 
 platform::transaction to_transaction(const platform::row_key& key, const claims::write_row& write) {
-    platform::transaction wanted;
-    wanted.conditions.push_back({key, to_platform(write.expected)});
-    wanted.writes.push_back({key, write.value});
-    return wanted;
+    platform::transaction table_transaction;
+    table_transaction.conditions.push_back({key, to_platform(write.expected)});
+    table_transaction.writes.push_back({key, write.value});
+    return table_transaction;
 }
 
 claims::event to_event(const platform::result<std::vector<platform::transaction_outcome>>& answer) {
     if (answer.has_error()) {
         const platform::error& failure = answer.error();
-        const bool surely_nothing = failure.code == platform::error_code::unavailable ||
-                                    failure.code == platform::error_code::rate_limited;
-        if (surely_nothing) {
+        const bool certainly_not_applied = failure.code == platform::error_code::unavailable ||
+                                           failure.code == platform::error_code::rate_limited;
+        if (certainly_not_applied) {
             return claims::write_refused{failure.retry_after};
         }
         return claims::write_lost{};
@@ -93,8 +93,10 @@
         case claims::claim_outcome::finished:
         case claims::claim_outcome::unknown: {
             claim_result result = result_of(claim_answer::finished);
-            const bool kept = end.result == claims::claim_outcome::finished && end.kept_outcome;
-            result.outcome = kept ? from_kept_outcome(*end.kept_outcome) : unknown_outcome();
+            const bool has_outcome =
+                end.result == claims::claim_outcome::finished && end.kept_outcome;
+            result.outcome =
+                has_outcome ? from_stored_outcome(*end.kept_outcome) : unknown_outcome();
             return result;
         }
         case claims::claim_outcome::unavailable:
@@ -104,7 +106,7 @@
                            end.retry_after.value_or(limits.retry_after)};
 }
 
-claims::outcome to_kept_outcome(const recorded_outcome& outcome) {
+claims::outcome to_stored_outcome(const recorded_outcome& outcome) {
     return {outcome.status, outcome.content_type, outcome.body};
 }
 
--- a/src/ferryroad/router/claims/claim_rows.hpp
+++ b/src/ferryroad/router/claims/claim_rows.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Claims' rows in the platform's table, and the registry's terms in those of the library.
+/// Conversions between the claim registry, the claim state machines and the platform's table,
+/// in which each claim is one row.
 #pragma once
 
 #include "ferryroad/coordination/claim/messages.hpp"
@@ -12,25 +13,29 @@
 
 namespace ferryroad::router {
 
-/// Every claim's row has a key that begins with this.
+/// Prefix of the row keys of all claims.
 inline constexpr const char* claim_key_prefix = "claim/";
 
-/// @return the key of the row: one for each tenant, route and idempotency key.
+/// @return the key of the claim's row, unique for tenant, route and idempotency key.
 platform::row_key row_key_of(const claim_request& request);
 
+/// @return a transaction that performs `write` on the row `key`.
 platform::transaction to_transaction(const platform::row_key& key,
                                      const coordination::claim::write_row& write);
 
-/// What the table's answer to a write of one transaction means to the claim's state machine.
+/// Converts the table's answer to a write of one transaction to an event of the claim's state
+/// machine.
 coordination::claim::event to_event(
     const platform::result<std::vector<platform::transaction_outcome>>& answer);
-/// The same of a read of one row.
+/// Converts the table's answer to a read of one row.
 coordination::claim::event to_event(const platform::result<std::vector<platform::row>>& answer);
 
-/// The registry's answer, or an error where nothing may run.
+/// @return the registry's answer, or an error if the claim could not be made and the request
+/// must not run.
 runtime::result<claim_result, platform::error> to_claim_result(
     const coordination::claim::ended& end, const claim_tunables& limits);
 
-coordination::claim::outcome to_kept_outcome(const recorded_outcome& outcome);
+/// @return the outcome in the form in which it is stored in the claim's row.
+coordination::claim::outcome to_stored_outcome(const recorded_outcome& outcome);
 
 }  // namespace ferryroad::router
--- a/src/ferryroad/router/claims/table_claim_registry.cpp
+++ b/src/ferryroad/router/claims/table_claim_registry.cpp
@@ -14,11 +14,11 @@
 
 constexpr const char* component = "router.claims";
 
-base::duration delay_of(const claims::action& wanted) {
-    if (const auto* write = std::get_if<claims::write_row>(&wanted)) {
+base::duration delay_of(const claims::action& next_action) {
+    if (const auto* write = std::get_if<claims::write_row>(&next_action)) {
         return write->delay;
     }
-    return std::get<claims::read_row>(wanted).delay;
+    return std::get<claims::read_row>(next_action).delay;
 }
 
 }  // namespace
@@ -33,9 +33,9 @@
       limits_(limits),
       known_dead_([this](const claims::holder& owner) {
           const base::router_name router(owner.name.value);
-          const bool earlier_self =
+          const bool is_own_predecessor =
               router == identity_.router && owner.incarnation < identity_.process;
-          return earlier_self || liveness_.known_dead(router, owner.incarnation);
+          return is_own_predecessor || liveness_.known_dead(router, owner.incarnation);
       }) {}
 
 runtime::task<runtime::result<claim_result, platform::error>> table_claim_registry::claim(
@@ -43,14 +43,14 @@
     const platform::row_key key = row_key_of(request);
     const std::int64_t claimed_at = scheduler_.unix_milliseconds();
     claims::claim_opening opening(terms_of(request), limits_.claim);
-    claims::action wanted = opening.begin(circumstances());
-    while (!std::holds_alternative<claims::ended>(wanted)) {
-        claims::event happened = co_await carry_out(key, std::move(wanted));
-        wanted = opening.handle(happened, circumstances());
+    claims::action next_action = opening.begin(circumstances());
+    while (!std::holds_alternative<claims::ended>(next_action)) {
+        claims::event table_event = co_await execute(key, std::move(next_action));
+        next_action = opening.handle(table_event, circumstances());
     }
-    const auto& end = std::get<claims::ended>(wanted);
+    const auto& end = std::get<claims::ended>(next_action);
     if (end.result == claims::claim_outcome::granted) {
-        granted_[request.attempt] = {end.version, claimed_at};
+        granted_claims_[request.attempt] = {end.version, claimed_at};
     }
     co_return to_claim_result(end, limits_);
 }
@@ -59,7 +59,7 @@
     claim_request request, recorded_outcome outcome) {
     claims::closing_kind kind = claims::close_unknown{};
     if (outcome.execution == core::execution::execution_report::complete) {
-        kind = claims::close_finished{to_kept_outcome(outcome)};
+        kind = claims::close_finished{to_stored_outcome(outcome)};
     }
     return close(std::move(request), std::move(kind));
 }
@@ -74,31 +74,31 @@
     const platform::row_key key = row_key_of(request);
     std::optional<claims::row_version> version;
     std::int64_t claimed_at = scheduler_.unix_milliseconds();
-    if (const auto granted = granted_.extract(request.attempt)) {
+    if (const auto granted = granted_claims_.extract(request.attempt)) {
         version = granted.mapped().version;
         claimed_at = granted.mapped().claimed_at_ms;
     }
     claims::claim_closing closing(terms_of(request), claimed_at, std::move(kind), version,
                                   limits_.claim);
-    claims::action wanted = closing.begin(circumstances());
-    while (!std::holds_alternative<claims::ended>(wanted)) {
-        claims::event happened = co_await carry_out(key, std::move(wanted));
-        wanted = closing.handle(happened, circumstances());
+    claims::action next_action = closing.begin(circumstances());
+    while (!std::holds_alternative<claims::ended>(next_action)) {
+        claims::event table_event = co_await execute(key, std::move(next_action));
+        next_action = closing.handle(table_event, circumstances());
     }
-    if (std::get<claims::ended>(wanted).result == claims::claim_outcome::unavailable) {
+    if (std::get<claims::ended>(next_action).result == claims::claim_outcome::unavailable) {
         co_return platform::error{platform::error_code::unavailable,
                                   "the claim's end could not be recorded", std::nullopt};
     }
     co_return runtime::result<void, platform::error>();
 }
 
-runtime::task<claims::event> table_claim_registry::carry_out(platform::row_key key,
-                                                             claims::action wanted) {
-    const base::duration delay = delay_of(wanted);
+runtime::task<claims::event> table_claim_registry::execute(platform::row_key key,
+                                                           claims::action next_action) {
+    const base::duration delay = delay_of(next_action);
     if (delay > base::duration::zero()) {
         co_await scheduler_.sleep_for(delay);
     }
-    if (const auto* write = std::get_if<claims::write_row>(&wanted)) {
+    if (const auto* write = std::get_if<claims::write_row>(&next_action)) {
         std::vector<platform::transaction> transactions{to_transaction(key, *write)};
         const auto written = co_await table_.transact(std::move(transactions));
         co_return to_event(written);
@@ -120,14 +120,15 @@
 
 runtime::task<void> table_claim_registry::sweep_for_ever() {
     for (;;) {
-        // Spread over the routers' starts, and over as many intervals as there are routers.
+        // The random factor keeps routers that started together from sweeping at the same time;
+        // scaling by the number of routers keeps the total load constant.
         const double share = 0.5 + scheduler_.random().unit();
         const auto routers = static_cast<double>(liveness_.live_routers());
         const double seconds = base::to_seconds(limits_.sweep_interval) * routers * share;
         co_await scheduler_.sleep_for(base::from_seconds(seconds));
         const std::size_t written = co_await sweep_page();
         if (written > 0) {
-            runtime::log(runtime::log_level::info, component, "old claims were cleared",
+            runtime::log(runtime::log_level::info, component, "swept expired and abandoned claims",
                          {{"claims", std::to_string(written)}});
         }
     }
--- a/src/ferryroad/router/claims/table_claim_registry.hpp
+++ b/src/ferryroad/router/claims/table_claim_registry.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Claims in the platform's table.
+/// Claim registry on top of the platform's table.
 #pragma once
 
 #include "ferryroad/coordination/claim/closing.hpp"
@@ -15,15 +15,15 @@
 
 namespace ferryroad::router {
 
-/// The process that claims.
+/// The router process that makes the claims.
 struct claim_identity {
     base::router_name router;
     base::incarnation process;
 };
 
-/// Drives coordination/claim over the table, one row a call: give it a table that merges calls
-/// (`platform::batching_table`). Collaborators outlive it; it outlives every coroutine that it
-/// or its callers started.
+/// Runs the state machines of coordination/claim against the table. Each table call covers one
+/// row, so use a table that merges calls (`platform::batching_table`). The collaborators must
+/// outlive the registry; the registry must outlive every coroutine started on it.
 class table_claim_registry final : public claim_registry {
   public:
     table_claim_registry(runtime::scheduler& scheduler, platform::table& table,
@@ -36,14 +36,15 @@
                                                                  recorded_outcome outcome) override;
     runtime::task<runtime::result<void, platform::error>> release(claim_request request) override;
 
-    /// Deletes expired claims and closes abandoned ones, page by page, for ever. The load on
-    /// the table is the same for any number of routers.
+    /// Deletes expired claims and closes abandoned ones, page by page, until cancelled. The pause
+    /// between pages grows with the number of live routers, so the load on the table doesn't
+    /// depend on it.
     runtime::task<void> sweep_for_ever();
-    /// Looks through the next page. @return claims written.
+    /// Processes the next page. @return the number of claims deleted or closed.
     runtime::task<std::size_t> sweep_page();
 
   private:
-    /// What is remembered of an attempt between its grant and its end.
+    /// State of a granted claim until the claim is closed.
     struct granted_claim {
         coordination::claim::row_version version;
         std::int64_t claimed_at_ms = 0;
@@ -51,8 +52,8 @@
 
     coordination::claim::claim_terms terms_of(const claim_request& request) const;
     coordination::claim::circumstances circumstances() const;
-    runtime::task<coordination::claim::event> carry_out(platform::row_key key,
-                                                        coordination::claim::action wanted);
+    runtime::task<coordination::claim::event> execute(platform::row_key key,
+                                                      coordination::claim::action next_action);
     runtime::task<runtime::result<void, platform::error>> close(
         claim_request request, coordination::claim::closing_kind kind);
     std::optional<platform::transaction> sweep(const platform::row& row) const;
@@ -63,7 +64,7 @@
     claim_identity identity_;
     claim_tunables limits_;
     std::function<bool(const coordination::claim::holder&)> known_dead_;
-    std::unordered_map<base::attempt_id, granted_claim> granted_;
+    std::unordered_map<base::attempt_id, granted_claim> granted_claims_;
     platform::row_key sweep_after_;
 };
 
--- a/src/ferryroad/router/claims/tunables.hpp
+++ b/src/ferryroad/router/claims/tunables.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Limits of the claim registry, in one place.
+/// Settings of the claim registry.
 #pragma once
 
 #include "ferryroad/base/time.hpp"
@@ -9,13 +9,15 @@
 
 namespace ferryroad::router {
 
+/// Settings of `table_claim_registry`.
 struct claim_tunables {
     coordination::claim::tunables claim;
-    /// When to come back after the table failed without saying so itself.
+    /// Retry time for callers when the table failed without giving one.
     base::duration retry_after = std::chrono::seconds(2);
-    /// One page of old claims is looked through this often for each live router.
+    /// Mean time between two pages of the sweep, over all routers together.
     base::duration sweep_interval = std::chrono::seconds(10);
-    std::uint32_t sweep_rows = 128;  ///< Rows of a page.
+    /// Rows in one page of the sweep.
+    std::uint32_t sweep_rows = 128;
 };
 
 }  // namespace ferryroad::router
--- a/src/ferryroad/router/selection/answer_cache.cpp
+++ b/src/ferryroad/router/selection/answer_cache.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-core::prefix::owner_answer aged(core::prefix::owner_answer answer, base::duration by) {
+core::prefix::owner_answer add_age(core::prefix::owner_answer answer, base::duration elapsed) {
     for (core::prefix::holder& each : answer.holders) {
-        each.age += by;
+        each.age += elapsed;
     }
     for (core::prefix::recent_dispatch& each : answer.dispatches) {
-        each.age += by;
+        each.age += elapsed;
     }
     return answer;
 }
@@ -25,35 +25,35 @@
     if (answer.holders.empty()) {
         return;
     }
-    make_room(now);
-    // Holders come longest match first.
+    evict_if_full(now);
+    // Holders are sorted by match length, longest first.
     const base::piece_hash deepest = pieces[answer.holders.front().pieces - 1];
-    answers_.insert_or_assign(deepest, kept_answer{scope, answer, now, now + lifetime});
+    answers_.insert_or_assign(deepest, cached_answer{scope, answer, now, now + lifetime});
 }
 
 std::optional<core::prefix::owner_answer> answer_cache::find(
     const core::prefix::cache_namespace& scope, const core::prefix::piece_chain& pieces,
     base::monotonic_time now) const {
     for (auto piece = pieces.rbegin(); piece != pieces.rend(); ++piece) {
-        const auto kept = answers_.find(*piece);
-        const bool usable =
-            kept != answers_.end() && kept->second.scope == scope && now <= kept->second.ends_at;
+        const auto cached = answers_.find(*piece);
+        const bool usable = cached != answers_.end() && cached->second.scope == scope &&
+                            now <= cached->second.expires_at;
         if (usable) {
-            return aged(kept->second.answer, now - kept->second.answered_at);
+            return add_age(cached->second.answer, now - cached->second.answered_at);
         }
     }
     return std::nullopt;
 }
 
-void answer_cache::make_room(base::monotonic_time now) {
+void answer_cache::evict_if_full(base::monotonic_time now) {
     if (answers_.size() < capacity_) {
         return;
     }
-    std::erase_if(answers_, [now](const auto& each) { return now > each.second.ends_at; });
+    std::erase_if(answers_, [now](const auto& each) { return now > each.second.expires_at; });
     if (answers_.size() >= capacity_) {
         answers_.erase(std::min_element(answers_.begin(), answers_.end(),
                                         [](const auto& left, const auto& right) {
-                                            return left.second.ends_at < right.second.ends_at;
+                                            return left.second.expires_at < right.second.expires_at;
                                         }));
     }
 }
--- a/src/ferryroad/router/selection/answer_cache.hpp
+++ b/src/ferryroad/router/selection/answer_cache.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Owners' answers about very hot roots, kept for a moment.
+/// Short-lived cache of owners' answers about frequently requested roots.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -12,34 +12,36 @@
 
 namespace ferryroad::router::selection {
 
-/// An answer is kept under the deepest piece that any engine holds, and serves every prompt
-/// that goes through that piece: what lies deeper on the prompt's own branch is then taken
-/// for missing until the answer ends.
+/// Stores each answer under the deepest piece that any engine holds and returns it for every
+/// prompt that contains this piece. Until the answer expires, deeper pieces of such a prompt are
+/// assumed not to be cached on any engine.
 class answer_cache {
   public:
-    /// @param capacity answers kept, at least 1.
+    /// @param capacity largest number of answers, at least 1.
     explicit answer_cache(std::size_t capacity) : capacity_(capacity) {}
 
+    /// Stores an answer for `lifetime`; does nothing if it has no holders.
     void add(const core::prefix::cache_namespace& scope, const core::prefix::piece_chain& pieces,
              const core::prefix::owner_answer& answer, base::monotonic_time now,
              base::duration lifetime);
-    /// @return the answer, its ages as of now, kept under the deepest of `pieces` that has one.
+    /// @return the unexpired answer stored under the deepest possible piece of `pieces`, with its
+    /// ages brought up to `now`.
     std::optional<core::prefix::owner_answer> find(const core::prefix::cache_namespace& scope,
                                                    const core::prefix::piece_chain& pieces,
                                                    base::monotonic_time now) const;
 
   private:
-    struct kept_answer {
+    struct cached_answer {
         core::prefix::cache_namespace scope;
         core::prefix::owner_answer answer;
         base::monotonic_time answered_at;
-        base::monotonic_time ends_at;
+        base::monotonic_time expires_at;
     };
 
-    void make_room(base::monotonic_time now);
+    void evict_if_full(base::monotonic_time now);
 
     std::size_t capacity_;
-    std::unordered_map<base::piece_hash, kept_answer> answers_;
+    std::unordered_map<base::piece_hash, cached_answer> answers_;
 };
 
 }  // namespace ferryroad::router::selection
--- a/src/ferryroad/router/selection/cache_event_adapter.hpp
+++ b/src/ferryroad/router/selection/cache_event_adapter.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Leads cache events from the back-end service to the prefix knowledge.
+/// Adapter from the back-end service's cache events to the prefix knowledge.
 #pragma once
 
 #include "ferryroad/router/backends/cache_event_sink.hpp"
@@ -7,9 +7,10 @@
 
 namespace ferryroad::router::selection {
 
+/// Forwards engines' cache events to a `prefix_knowledge`.
 class cache_event_adapter final : public backends::cache_event_sink {
   public:
-    /// @param knowledge outlives the object.
+    /// @param knowledge must outlive the adapter.
     explicit cache_event_adapter(prefix_knowledge& knowledge) : knowledge_(knowledge) {}
 
     void accept(const base::engine_name& engine, const engine::cache_event_batch& batch) override {
--- a/src/ferryroad/router/selection/candidates.cpp
+++ b/src/ferryroad/router/selection/candidates.cpp
@@ -12,7 +12,8 @@
 bool serves(const engine::load_report& load, const core::prefix::cache_namespace& scope) {
     const bool reported = !load.model.value.empty();
     if (scope.model.value.empty() || !reported) {
-        return true;  // An application request, or not known yet: the engine itself checks.
+        // An application request, or the engine's model is not known yet: the engine checks.
+        return true;
     }
     const bool has_adapter =
         scope.adapter.value.empty() ||
@@ -20,13 +21,14 @@
     return load.model == scope.model && load.version == scope.version && has_adapter;
 }
 
-/// @return prefill that other routers sent to the engine since its figures were true.
-std::uint64_t sent_by_others(const engine_view& engine, const prefix_answer& knowledge,
-                             base::duration figures_age) {
+/// @return prefill tokens that other routers sent to the engine and that its load report, which
+/// is `report_age` old, doesn't include yet.
+std::uint64_t tokens_from_other_routers(const engine_view& engine, const prefix_answer& knowledge,
+                                        base::duration report_age) {
     const core::prefix::engine_process process{engine.target.name, engine.target.incarnation};
     std::uint64_t tokens = 0;
     for (const core::prefix::recent_dispatch& each : knowledge.dispatches) {
-        const bool unreported = each.process == process && each.age < figures_age;
+        const bool unreported = each.process == process && each.age < report_age;
         tokens += unreported ? each.prefill_tokens : 0;
     }
     return tokens;
@@ -39,7 +41,7 @@
     load.prefill_tokens_per_second = engine.load.prefill_tokens_per_second;
     load.age = now - engine.reported_at + engine.load.age;
     load.prefill_tokens_since =
-        engine.own_prefill_tokens_since + sent_by_others(engine, knowledge, load.age);
+        engine.own_prefill_tokens_since + tokens_from_other_routers(engine, knowledge, load.age);
 
     core::routing::candidate candidate;
     candidate.engine = engine.target.name;
@@ -67,23 +69,24 @@
                                               const std::vector<engine_view>& engines,
                                               const prefix_answer& knowledge,
                                               base::monotonic_time now) {
-    core::routing::routing_query question;
-    question.pieces = query.pieces;
-    question.prompt_tokens = query.prompt_tokens;
-    question.piece_tokens = query.piece_tokens;
-    question.recompute_price = query.recompute_price;
-    question.time_left = query.time_left;
-    question.candidates.reserve(engines.size());
+    core::routing::routing_query policy_query;
+    policy_query.pieces = query.pieces;
+    policy_query.prompt_tokens = query.prompt_tokens;
+    policy_query.piece_tokens = query.piece_tokens;
+    policy_query.recompute_price = query.recompute_price;
+    policy_query.time_left = query.time_left;
+    policy_query.candidates.reserve(engines.size());
     for (const engine_view& engine : engines) {
         core::routing::candidate candidate = to_candidate(engine, knowledge, now);
-        const core::prefix::engine_process present{candidate.engine, candidate.incarnation};
-        const auto held =
-            std::find_if(knowledge.holders.begin(), knowledge.holders.end(),
-                         [&](const core::prefix::holder& each) { return each.process == present; });
-        candidate.cached_pieces = held == knowledge.holders.end() ? 0 : held->pieces;
-        question.candidates.push_back(std::move(candidate));
+        const core::prefix::engine_process current_process{candidate.engine, candidate.incarnation};
+        const auto current_holder = std::find_if(
+            knowledge.holders.begin(), knowledge.holders.end(),
+            [&](const core::prefix::holder& each) { return each.process == current_process; });
+        candidate.cached_pieces =
+            current_holder == knowledge.holders.end() ? 0 : current_holder->pieces;
+        policy_query.candidates.push_back(std::move(candidate));
     }
-    return question;
+    return policy_query;
 }
 
 }  // namespace ferryroad::router::selection
--- a/src/ferryroad/router/selection/candidates.hpp
+++ b/src/ferryroad/router/selection/candidates.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// From what the directory and the prefix knowledge say to a policy's question.
+/// Builds a routing policy's query from the engine directory and the prefix knowledge.
 #pragma once
 
 #include "ferryroad/base/time.hpp"
@@ -12,13 +12,13 @@
 
 namespace ferryroad::router::selection {
 
-/// @return engines that may run the request: not excluded, of a fitting role, and not known
-/// to serve another model, weights version or adapter set.
+/// @return the engines that may run the request: not excluded by the query, not in the decode
+/// role, and not known to serve another model, weights version or adapter set.
 std::vector<engine_view> eligible_engines(std::vector<engine_view> engines,
                                           const selection_query& query);
 
-/// @return the policy's question; candidate n is `engines[n]`. Holders of another
-/// incarnation than the engine's present one count for nothing.
+/// @return the query for the policy; candidate n is `engines[n]`. Cache contents reported for
+/// another incarnation of an engine than the current one are ignored.
 core::routing::routing_query to_routing_query(const selection_query& query,
                                               const std::vector<engine_view>& engines,
                                               const prefix_answer& knowledge,
--- a/src/ferryroad/router/selection/decision_log.hpp
+++ b/src/ferryroad/router/selection/decision_log.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The last decisions of this router, for `explain`.
+/// Log of this router's recent routing decisions, for `explain`.
 #pragma once
 
 #include "ferryroad/router/engine_selector.hpp"
@@ -11,10 +11,10 @@
 
 namespace ferryroad::router::selection {
 
-/// Keeps the newest decisions; of one request only its latest.
+/// Bounded log of the most recent decisions, with one entry for each request: its latest one.
 class decision_log {
   public:
-    /// @param capacity decisions kept, at least 1.
+    /// @param capacity largest number of decisions, at least 1.
     explicit decision_log(std::size_t capacity) : capacity_(capacity) {}
 
     void add(decision_record record);
--- a/src/ferryroad/router/selection/local_prefix_knowledge.hpp
+++ b/src/ferryroad/router/selection/local_prefix_knowledge.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Prefix knowledge of this router alone.
+/// Prefix knowledge based only on what this router observed.
 #pragma once
 
 #include "ferryroad/base/time.hpp"
@@ -9,9 +9,10 @@
 
 namespace ferryroad::router::selection {
 
+/// Implements `prefix_knowledge` with an index that isn't shared with other routers.
 class local_prefix_knowledge final : public prefix_knowledge {
   public:
-    /// @param clock outlives the object.
+    /// @param clock must outlive the object.
     explicit local_prefix_knowledge(const base::clock& clock,
                                     core::prefix::prefix_index_settings index = {},
                                     core::prefix::heat_settings heat = {});
@@ -29,7 +30,7 @@
     core::prefix::heat heat_;
 };
 
-/// Enters a batch of an engine's cache events into `index`.
+/// Applies a batch of an engine's cache events to `index`.
 void record_events(core::prefix::prefix_index& index, const base::engine_name& engine,
                    const engine::cache_event_batch& batch, base::monotonic_time now);
 
--- a/src/ferryroad/router/selection/prefix_exchange.hpp
+++ b/src/ferryroad/router/selection/prefix_exchange.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Ports of the shared index to other routers.
+/// Interfaces through which the shared prefix index communicates with other routers.
 #pragma once
 
 #include "ferryroad/base/endpoint.hpp"
@@ -14,29 +14,32 @@
 
 namespace ferryroad::router::selection {
 
-/// Where a router is reached.
+/// A router process and its address.
 struct router_contact {
     base::router_name name;
     base::incarnation incarnation;
     base::endpoint address;
 };
 
-/// Which routers live. Used from the event loop's thread.
+/// Source of the currently live routers. Used from the event loop's thread only.
 class live_routers {
   public:
     virtual ~live_routers() = default;
-    /// @return every router that is believed to live, this one included, in any order.
+    /// @return all routers considered alive, including this one, in no particular order.
     virtual std::vector<router_contact> live() const = 0;
 };
 
-/// Speaks to the owners of prefix roots. Each call ends by `limit`.
+/// Sends requests to the owners of prefix roots. Every call completes within `limit`.
 class prefix_exchange {
   public:
     virtual ~prefix_exchange() = default;
+    /// Asks `owner` which engines hold leading pieces of the chain.
     virtual runtime::task<runtime::result<core::prefix::owner_answer, exchange_error>> lookup(
         router_contact owner, core::prefix::cache_namespace scope, core::prefix::piece_chain pieces,
         base::duration limit) = 0;
-    /// @return once the owner has them; an error where it may not.
+    /// Sends `reports` to `owner`.
+    /// @return after the owner has acknowledged the reports; an error if it may not have
+    /// received them.
     virtual runtime::task<runtime::result<void, exchange_error>> report(
         router_contact owner, std::vector<core::prefix::prefix_report> reports,
         base::duration limit) = 0;
--- a/src/ferryroad/router/selection/prefix_knowledge.hpp
+++ b/src/ferryroad/router/selection/prefix_knowledge.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What the routers know of the engines' caches, behind one interface: this router's own
-/// index, or the index shared between routers.
+/// Interface to an index of the engines' prefix caches. The index is either local to this
+/// router or shared between routers.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -14,45 +14,48 @@
 
 namespace ferryroad::router::selection {
 
-/// Who answered a lookup.
+/// Source of the answer to a lookup.
 enum class answer_source {
     local,    ///< This router's own index.
-    owner,    ///< The root's owner, just now or within the answer's short life.
-    standby,  ///< The router behind the owner.
-    none      ///< Nobody: only the stateless floor is left.
+    owner,    ///< The root's owner; the answer may come from the cache of recent answers.
+    standby,  ///< The root's standby.
+    none      ///< No index answered; the policy routes without knowledge of the caches.
 };
 
-/// Where leading pieces of a prompt are believed to be.
+/// Answer to a lookup: which engines are expected to hold leading pieces of a prompt.
 struct prefix_answer {
     std::vector<core::prefix::holder> holders;  ///< Longest match first.
-    double request_rate = 0;                    ///< Of the root, a second, as far as known.
+    double request_rate = 0;                    ///< Known requests per second for the root.
     answer_source source = answer_source::none;
-    /// Work that other routers sent lately, as far as known; ages count from the answer on.
+    /// Known recent dispatches of other routers; ages are relative to the time of the answer.
     std::vector<core::prefix::recent_dispatch> dispatches;
 };
 
-/// Something learned: `process` holds, or is about to hold, all of `pieces`.
+/// An observation that `process` holds, or will soon hold, all of `pieces`.
 struct prefix_observation {
     core::prefix::cache_namespace scope;
     core::prefix::piece_chain pieces;  ///< Root first.
     core::prefix::engine_process process;
-    core::prefix::evidence why{};
-    std::uint32_t prefill_tokens = 0;  ///< Of a dispatch: expected to be prefilled there.
+    core::prefix::evidence why{};      ///< What the observation is based on.
+    std::uint32_t prefill_tokens = 0;  ///< For a dispatch: tokens the engine has to prefill.
 };
 
-/// Used from the event loop's thread. A holder's incarnation must be compared with the
-/// engine's present one before use: knowledge is late.
+/// Used from the event loop's thread only. The index lags behind the engines: compare a holder's
+/// incarnation with the engine's current one before use.
 class prefix_knowledge {
   public:
     virtual ~prefix_knowledge() = default;
-    /// @param pieces not empty. @return within a few milliseconds, with or without holders.
+    /// Looks up the holders of leading pieces of a chain. Completes within a few milliseconds,
+    /// with or without holders.
+    /// @param pieces not empty, root first.
     virtual runtime::task<prefix_answer> lookup(core::prefix::cache_namespace scope,
                                                 core::prefix::piece_chain pieces) = 0;
+    /// Records an observation of this router.
     virtual void report(prefix_observation observation) = 0;
-    /// Events of an engine whose stream this router reads.
+    /// Records cache events of an engine whose event stream this router reads.
     virtual void report_events(const base::engine_name& engine,
                                const engine::cache_event_batch& batch) = 0;
-    /// The engine's process is this one now.
+    /// Records the engine's current process.
     virtual void report_incarnation(const core::prefix::engine_process& process) = 0;
 };
 
--- a/src/ferryroad/router/selection/router_view.cpp
+++ b/src/ferryroad/router/selection/router_view.cpp
@@ -23,7 +23,7 @@
         if (before != known_.end() && before->second.incarnation == contact.incarnation) {
             router = before->second;
         } else if (!refreshed_ && !is_self(contact)) {
-            router.appeared_at.reset();
+            router.first_seen_at.reset();
         }
         present.emplace(contact.name, router);
     }
@@ -31,16 +31,16 @@
     refreshed_ = true;
 }
 
-std::optional<root_place> router_view::place_of(base::piece_hash root) const {
+std::optional<root_owners> router_view::find_owners(base::piece_hash root) const {
     const auto owners = core::prefix::owners_of(root, names_);
     if (!owners) {
         return std::nullopt;
     }
-    root_place place{contacts_[owners->owner], std::nullopt};
+    root_owners contacts{contacts_[owners->owner], std::nullopt};
     if (owners->standby) {
-        place.standby = contacts_[*owners->standby];
+        contacts.standby = contacts_[*owners->standby];
     }
-    return place;
+    return contacts;
 }
 
 std::optional<router_contact> router_view::find(const base::router_name& router) const {
@@ -50,10 +50,10 @@
     return found == contacts_.end() ? std::nullopt : std::optional(*found);
 }
 
-bool router_view::warming_up(const router_contact& router, base::monotonic_time now) const {
+bool router_view::is_warming_up(const router_contact& router, base::monotonic_time now) const {
     const auto known = known_.find(router.name);
-    return known != known_.end() && known->second.appeared_at &&
-           now - *known->second.appeared_at < warm_up_;
+    return known != known_.end() && known->second.first_seen_at &&
+           now - *known->second.first_seen_at < warm_up_;
 }
 
 void router_view::record_failure(const router_contact& router, base::monotonic_time now) {
@@ -63,7 +63,7 @@
     }
 }
 
-bool router_view::avoided(const router_contact& router, base::monotonic_time now) const {
+bool router_view::is_avoided(const router_contact& router, base::monotonic_time now) const {
     const auto known = known_.find(router.name);
     return known != known_.end() && known->second.failed_at &&
            now - *known->second.failed_at < avoid_failed_for_;
--- a/src/ferryroad/router/selection/router_view.hpp
+++ b/src/ferryroad/router/selection/router_view.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The live routers as the shared index sees them: who owns a root, and who is too new or too
-/// unresponsive to be relied on alone.
+/// Snapshot of the live routers for the shared index: which router owns a root, and which routers
+/// are warming up or failed recently.
 #pragma once
 
 #include "ferryroad/base/time.hpp"
@@ -14,38 +14,42 @@
 
 namespace ferryroad::router::selection {
 
-/// Owner and standby of a root, as contacts.
-struct root_place {
+/// The routers that keep the index of a root.
+struct root_owners {
     router_contact owner;
     std::optional<router_contact> standby;
 };
 
+/// Tracks the live routers and recent failures to reach them.
 class router_view {
   public:
-    /// @param source outlives the view.
-    /// @param warm_up a router that appeared later than this ago may lack reports.
+    /// @param source must outlive the view.
+    /// @param self name of this router.
+    /// @param warm_up time after its start in which a router may still lack reports.
+    /// @param avoid_failed_for time after a failed exchange in which a router is avoided.
     router_view(const live_routers& source, base::router_name self, base::duration warm_up,
                 base::duration avoid_failed_for);
 
-    /// Reads the live routers. Called before the questions below.
+    /// Reads the live routers. Call this before the queries below.
     void refresh(base::monotonic_time now);
 
     std::size_t count() const { return contacts_.size(); }
     bool is_self(const router_contact& router) const { return router.name == self_; }
-    /// @return nothing where no router lives.
-    std::optional<root_place> place_of(base::piece_hash root) const;
+    /// @return owner and standby of `root`; nothing if no router is alive.
+    std::optional<root_owners> find_owners(base::piece_hash root) const;
     std::optional<router_contact> find(const base::router_name& router) const;
-    /// @return true where the router started, or came into view, a short while ago.
-    bool warming_up(const router_contact& router, base::monotonic_time now) const;
+    /// @return whether the router started or became visible less than `warm_up` ago.
+    bool is_warming_up(const router_contact& router, base::monotonic_time now) const;
 
+    /// Records that an exchange with the router failed.
     void record_failure(const router_contact& router, base::monotonic_time now);
-    /// @return true where an exchange with it failed a moment ago.
-    bool avoided(const router_contact& router, base::monotonic_time now) const;
+    /// @return whether an exchange with the router failed less than `avoid_failed_for` ago.
+    bool is_avoided(const router_contact& router, base::monotonic_time now) const;
 
   private:
     struct known_router {
         base::incarnation incarnation;
-        std::optional<base::monotonic_time> appeared_at;  ///< Nothing: before us.
+        std::optional<base::monotonic_time> first_seen_at;  ///< Empty if present at startup.
         std::optional<base::monotonic_time> failed_at;
     };
 
@@ -55,7 +59,7 @@
     base::duration avoid_failed_for_;
     bool refreshed_ = false;
     std::vector<router_contact> contacts_;
-    std::vector<base::router_name> names_;  ///< Of `contacts_`, in their order.
+    std::vector<base::router_name> names_;  ///< Names of `contacts_`, in the same order.
     std::unordered_map<base::router_name, known_router> known_;
 };
 
--- a/src/ferryroad/router/selection/selector.cpp
+++ b/src/ferryroad/router/selection/selector.cpp
@@ -10,19 +10,20 @@
 
 namespace {
 
-/// @return figures of the chosen candidate.
-const core::routing::candidate_figures& chosen_figures(const core::routing::decision& made) {
-    return *std::find_if(made.considered.begin(), made.considered.end(),
-                         [&made](const core::routing::candidate_figures& each) {
-                             return each.candidate == made.chosen;
+/// @return the policy's estimates for the chosen candidate.
+const core::routing::candidate_figures& chosen_figures(
+    const core::routing::decision& policy_decision) {
+    return *std::find_if(policy_decision.considered.begin(), policy_decision.considered.end(),
+                         [&policy_decision](const core::routing::candidate_figures& each) {
+                             return each.candidate == policy_decision.chosen;
                          });
 }
 
-core::routing::import_move to_move(const core::routing::routing_query& question,
-                                   const core::routing::decision& made) {
-    return {question.pieces[made.import->pieces - 1],
-            question.candidates[made.import->source].engine,
-            question.candidates[made.chosen].engine};
+core::routing::import_move to_import_move(const core::routing::routing_query& policy_query,
+                                          const core::routing::decision& policy_decision) {
+    return {policy_query.pieces[policy_decision.import->pieces - 1],
+            policy_query.candidates[policy_decision.import->source].engine,
+            policy_query.candidates[policy_decision.chosen].engine};
 }
 
 engine::import_request to_import_request(const selection_query& query,
@@ -47,7 +48,7 @@
       scheduler_(scheduler),
       tunables_(tunables),
       imports_(tunables.import_limits),
-      log_(tunables.decisions_kept) {}
+      log_(tunables.max_logged_decisions) {}
 
 runtime::task<runtime::result<selected_engine, selection_error>> selector::select(
     selection_query query) {
@@ -67,27 +68,27 @@
 runtime::result<selected_engine, selection_error> selector::decide(const selection_query& query,
                                                                    const prefix_answer& knowledge) {
     const auto engines = eligible_engines(directory_.available(query.pool), query);
-    auto question = to_routing_query(query, engines, knowledge, scheduler_.now());
-    question.import = tunables_.import;
-    const auto made = choose(question);
-    if (!made) {
+    auto policy_query = to_routing_query(query, engines, knowledge, scheduler_.now());
+    policy_query.import = tunables_.import;
+    const auto policy_decision = choose(policy_query);
+    if (!policy_decision) {
         return refuse_no_engine();
     }
-    keep(query, question, *made);
-    if (made->expected_first_token > query.time_left) {
-        if (made->import) {
-            imports_.finish(to_move(question, *made));
+    record_decision(query, policy_query, *policy_decision);
+    if (policy_decision->expected_first_token > query.time_left) {
+        if (policy_decision->import) {
+            imports_.finish(to_import_move(policy_query, *policy_decision));
         }
-        return refuse_deadline(made->expected_first_token - query.time_left);
+        return refuse_deadline(policy_decision->expected_first_token - query.time_left);
     }
-    const auto& figures = chosen_figures(*made);
+    const auto& figures = chosen_figures(*policy_decision);
     selected_engine selected;
-    selected.target = engines[made->chosen].target;
+    selected.target = engines[policy_decision->chosen].target;
     selected.expected_cached_pieces = figures.cached_pieces + figures.imported_pieces;
-    selected.expected_first_token = made->expected_first_token;
-    if (made->import) {
-        selected.import =
-            to_import_request(query, *made->import, engines[made->import->source].target);
+    selected.expected_first_token = policy_decision->expected_first_token;
+    if (policy_decision->import) {
+        selected.import = to_import_request(query, *policy_decision->import,
+                                            engines[policy_decision->import->source].target);
     }
     if (!query.pieces.empty()) {
         knowledge_.report({query.scope,
@@ -95,20 +96,22 @@
                            {selected.target.name, selected.target.incarnation},
                            core::prefix::evidence::dispatch,
                            static_cast<std::uint32_t>(core::routing::missing_tokens(
-                               question, selected.expected_cached_pieces))});
+                               policy_query, selected.expected_cached_pieces))});
     }
     return selected;
 }
 
-std::optional<core::routing::decision> selector::choose(core::routing::routing_query& question) {
-    auto made = policy_->choose(question, scheduler_.random());
+std::optional<core::routing::decision> selector::choose(
+    core::routing::routing_query& policy_query) {
+    auto policy_decision = policy_->choose(policy_query, scheduler_.random());
     const bool import_refused =
-        made && made->import && !imports_.begin(to_move(question, *made), scheduler_.now());
+        policy_decision && policy_decision->import &&
+        !imports_.begin(to_import_move(policy_query, *policy_decision), scheduler_.now());
     if (import_refused) {
-        question.import.allowed = false;
-        made = policy_->choose(question, scheduler_.random());
+        policy_query.import.allowed = false;
+        policy_decision = policy_->choose(policy_query, scheduler_.random());
     }
-    return made;
+    return policy_decision;
 }
 
 selection_error selector::refuse_no_engine() {
@@ -149,23 +152,24 @@
     return log_.find(request);
 }
 
-void selector::keep(const selection_query& query, const core::routing::routing_query& question,
-                    const core::routing::decision& made) {
+void selector::record_decision(const selection_query& query,
+                               const core::routing::routing_query& policy_query,
+                               const core::routing::decision& policy_decision) {
     ++counters_.decisions;
     decision_record record;
     record.request = query.request;
     record.pool = query.pool;
     record.policy = policy_->name();
-    record.candidates.reserve(made.considered.size());
-    for (const core::routing::candidate_figures& each : made.considered) {
+    record.candidates.reserve(policy_decision.considered.size());
+    for (const core::routing::candidate_figures& each : policy_decision.considered) {
         candidate_record candidate;
-        candidate.engine = question.candidates[each.candidate].engine;
+        candidate.engine = policy_query.candidates[each.candidate].engine;
         candidate.cached_pieces = each.cached_pieces;
         candidate.queue_wait = each.queue_wait;
         candidate.prefill = each.prefill;
         candidate.import = each.import;
         candidate.cost = each.cost;
-        candidate.chosen = each.candidate == made.chosen;
+        candidate.chosen = each.candidate == policy_decision.chosen;
         record.candidates.push_back(std::move(candidate));
     }
     log_.add(std::move(record));
--- a/src/ferryroad/router/selection/selector.hpp
+++ b/src/ferryroad/router/selection/selector.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The router's engine selector: directory, prefix knowledge and policy together.
+/// Engine selector that combines the engine directory, the prefix knowledge and a policy.
 #pragma once
 
 #include "ferryroad/core/routing/import_limiter.hpp"
@@ -16,19 +16,22 @@
 
 namespace ferryroad::router::selection {
 
-/// How good the choices were, for metrics. Pieces are counted as answers report them.
+/// Counters of decisions and of the accuracy of their cache estimates, for metrics. Cached pieces
+/// are counted from the engines' answers.
 struct selection_counters {
     std::uint64_t decisions = 0;
     std::uint64_t refused_no_engine = 0;
     std::uint64_t refused_deadline = 0;
-    std::uint64_t pieces_total = 0;   ///< Whole pieces of started prompts.
-    std::uint64_t pieces_cached = 0;  ///< Of these, found in the engine's cache.
-    /// Expected in the cache and not found there.
+    std::uint64_t pieces_total = 0;   ///< Whole pieces of the prompts of started requests.
+    std::uint64_t pieces_cached = 0;  ///< Those of them found in the engine's cache.
+    /// Pieces expected in the cache but not found there.
     std::uint64_t pieces_overestimated = 0;
-    std::uint64_t pieces_underestimated = 0;  ///< Found there without being expected.
+    /// Pieces found in the cache but not expected there.
+    std::uint64_t pieces_underestimated = 0;
 };
 
-/// Collaborators outlive the selector. Used from the event loop's thread.
+/// Selects an engine for each request. All collaborators must outlive the selector. Used from the
+/// event loop's thread only.
 class selector final : public engine_selector {
   public:
     /// @param policy not null.
@@ -49,12 +52,15 @@
     runtime::task<prefix_answer> look_up(const selection_query& query);
     runtime::result<selected_engine, selection_error> decide(const selection_query& query,
                                                              const prefix_answer& knowledge);
-    /// @return the policy's choice; without import where the limits forbid the one it wants.
-    std::optional<core::routing::decision> choose(core::routing::routing_query& question);
+    /// @return the policy's decision. If the import limits don't admit its import, the policy is
+    /// asked again with imports disabled.
+    std::optional<core::routing::decision> choose(core::routing::routing_query& policy_query);
     selection_error refuse_no_engine();
     selection_error refuse_deadline(base::duration too_late_by);
-    void keep(const selection_query& query, const core::routing::routing_query& question,
-              const core::routing::decision& made);
+    /// Counts the decision and adds it to the log.
+    void record_decision(const selection_query& query,
+                         const core::routing::routing_query& policy_query,
+                         const core::routing::decision& policy_decision);
 
     engine_directory& directory_;
     prefix_knowledge& knowledge_;
--- a/src/ferryroad/router/selection/shared_prefix_knowledge.cpp
+++ b/src/ferryroad/router/selection/shared_prefix_knowledge.cpp
@@ -19,7 +19,7 @@
                      });
 }
 
-/// Adds `more` to `holders`: for an engine in both, the longer match counts.
+/// Merges `more` into `holders`. For an engine in both, the longer match is used.
 void merge(std::vector<core::prefix::holder>& holders,
            const std::vector<core::prefix::holder>& more) {
     for (const core::prefix::holder& each : more) {
@@ -35,10 +35,11 @@
     sort_longest_first(holders);
 }
 
-/// Drops what can't be true of `asked` pieces, and puts the longest match first.
-void keep_plausible(std::vector<core::prefix::holder>& holders, std::size_t asked) {
-    std::erase_if(holders, [asked](const core::prefix::holder& each) {
-        return each.pieces == 0 || each.pieces > asked;
+/// Removes holders whose match length is impossible for a chain of `piece_count` pieces, and sorts
+/// the rest by match length, longest first.
+void remove_implausible(std::vector<core::prefix::holder>& holders, std::size_t piece_count) {
+    std::erase_if(holders, [piece_count](const core::prefix::holder& each) {
+        return each.pieces == 0 || each.pieces > piece_count;
     });
     sort_longest_first(holders);
 }
@@ -59,7 +60,7 @@
       own_lookups_(settings.heat),
       owned_(settings.owned, settings.heat),
       outbox_(settings.outbox),
-      answers_(settings.answers_kept) {}
+      answers_(settings.max_cached_answers) {}
 
 runtime::task<prefix_answer> shared_prefix_knowledge::lookup(core::prefix::cache_namespace scope,
                                                              core::prefix::piece_chain pieces) {
@@ -67,10 +68,10 @@
     routers_.refresh(scheduler_.now());
     own_lookups_.record(pieces.front(), scheduler_.now());
     prefix_answer answer;
-    const auto kept = answers_.find(scope, pieces, scheduler_.now());
-    if (kept) {
+    const auto cached = answers_.find(scope, pieces, scheduler_.now());
+    if (cached) {
         ++counters_.lookups_from_cache;
-        answer = {kept->holders, kept->request_rate, answer_source::owner, kept->dispatches};
+        answer = {cached->holders, cached->request_rate, answer_source::owner, cached->dispatches};
     } else {
         answer = co_await ask_owners(scope, pieces);
     }
@@ -81,14 +82,14 @@
 runtime::task<prefix_answer> shared_prefix_knowledge::ask_owners(
     core::prefix::cache_namespace scope, core::prefix::piece_chain pieces) {
     prefix_answer merged;
-    const auto place = routers_.place_of(pieces.front());
-    if (!place) {
+    const auto owners = routers_.find_owners(pieces.front());
+    if (!owners) {
         co_return merged;
     }
     const base::monotonic_time asked_at = scheduler_.now();
-    const bool owner_avoided = place->standby && routers_.avoided(place->owner, asked_at);
-    if (!owner_avoided) {
-        const auto answered = co_await ask(place->owner, scope, pieces);
+    const bool avoid_owner = owners->standby && routers_.is_avoided(owners->owner, asked_at);
+    if (!avoid_owner) {
+        const auto answered = co_await ask(owners->owner, scope, pieces);
         if (answered) {
             outbox_.reconcile(scope, pieces, answered->holders, scheduler_.now());
             const base::duration lifetime = answer_lifetime(pieces.front());
@@ -100,9 +101,9 @@
         }
     }
     const bool complete =
-        merged.source == answer_source::owner && !routers_.warming_up(place->owner, asked_at);
-    if (place->standby && !complete) {
-        const auto answered = co_await ask(*place->standby, scope, pieces);
+        merged.source == answer_source::owner && !routers_.is_warming_up(owners->owner, asked_at);
+    if (owners->standby && !complete) {
+        const auto answered = co_await ask(*owners->standby, scope, pieces);
         if (answered) {
             merge(merged.holders, answered->holders);
             merged.request_rate = std::max(merged.request_rate, answered->request_rate);
@@ -123,14 +124,14 @@
     }
     ++counters_.lookups_sent;
     const base::duration limit = settings_.lookup_limit;
-    const std::size_t asked = pieces.size();
+    const std::size_t piece_count = pieces.size();
     auto answered = co_await exchange_.lookup(router, std::move(scope), std::move(pieces), limit);
     if (answered.has_error()) {
         ++counters_.lookups_failed;
         routers_.record_failure(router, scheduler_.now());
         co_return answered;
     }
-    keep_plausible(answered->holders, asked);
+    remove_implausible(answered->holders, piece_count);
     co_return answered;
 }
 
@@ -151,9 +152,10 @@
     local_.record(observation.scope, observation.pieces, observation.process, observation.why,
                   scheduler_.now());
     const base::piece_hash root = observation.pieces.front();
-    distribute(keepers_of(root), {std::move(observation.scope), std::move(observation.pieces),
-                                  std::move(observation.process), core::prefix::prefix_change::held,
-                                  observation.why, observation.prefill_tokens});
+    distribute(replicas_of(root),
+               {std::move(observation.scope), std::move(observation.pieces),
+                std::move(observation.process), core::prefix::prefix_change::held, observation.why,
+                observation.prefill_tokens});
 }
 
 void shared_prefix_knowledge::report_events(const base::engine_name& engine,
@@ -171,9 +173,9 @@
 }
 
 core::prefix::owner_answer shared_prefix_knowledge::answer(
-    const base::router_name& asker, const core::prefix::cache_namespace& scope,
+    const base::router_name& requester, const core::prefix::cache_namespace& scope,
     const core::prefix::piece_chain& pieces) {
-    return owned_.lookup(scope, pieces, asker, scheduler_.now());
+    return owned_.lookup(scope, pieces, requester, scheduler_.now());
 }
 
 void shared_prefix_knowledge::accept(const base::router_name& reporter,
@@ -190,71 +192,70 @@
     return above_share ? base::from_seconds(1 / share) : base::duration::zero();
 }
 
-std::vector<router_contact> shared_prefix_knowledge::keepers_of(base::piece_hash root) {
+std::vector<router_contact> shared_prefix_knowledge::replicas_of(base::piece_hash root) {
     routers_.refresh(scheduler_.now());
-    const auto place = routers_.place_of(root);
-    std::vector<router_contact> keepers;
-    if (place) {
-        keepers.push_back(place->owner);
-        if (place->standby) {
-            keepers.push_back(*place->standby);
+    const auto owners = routers_.find_owners(root);
+    std::vector<router_contact> replicas;
+    if (owners) {
+        replicas.push_back(owners->owner);
+        if (owners->standby) {
+            replicas.push_back(*owners->standby);
         }
     }
-    return keepers;
+    return replicas;
 }
 
-void shared_prefix_knowledge::distribute(const std::vector<router_contact>& keepers,
+void shared_prefix_knowledge::distribute(const std::vector<router_contact>& replicas,
                                          core::prefix::prefix_report report) {
     const base::monotonic_time now = scheduler_.now();
-    std::vector<base::router_name> others;
-    for (const router_contact& keeper : keepers) {
-        if (routers_.is_self(keeper)) {
+    std::vector<base::router_name> remote_replicas;
+    for (const router_contact& replica : replicas) {
+        if (routers_.is_self(replica)) {
             owned_.record(report, self_, now);
         } else {
-            others.push_back(keeper.name);
+            remote_replicas.push_back(replica.name);
         }
     }
-    outbox_.add(others, std::move(report), now);
+    outbox_.add(remote_replicas, std::move(report), now);
     schedule_flush();
 }
 
 void shared_prefix_knowledge::distribute_evictions(const base::engine_name& engine,
                                                    const engine::cache_event_batch& batch) {
-    // Pieces that entered are known from the dispatch that brought them.
+    // Stored pieces were already reported with the dispatch that caused them to be stored.
     std::map<std::pair<core::prefix::cache_namespace, base::piece_hash>, core::prefix::piece_chain>
         evicted;
     for (const engine::cache_event& event : batch.events) {
-        remember_root(engine, event.root);
+        record_root(engine, event.root);
         if (event.change == engine::cache_change::evicted) {
             evicted[{event.scope, event.root}].push_back(event.piece);
         }
     }
     for (auto& [family, pieces] : evicted) {
-        distribute(keepers_of(family.second), {family.first,
-                                               std::move(pieces),
-                                               {engine, batch.incarnation},
-                                               core::prefix::prefix_change::evicted,
-                                               core::prefix::evidence::event});
+        distribute(replicas_of(family.second), {family.first,
+                                                std::move(pieces),
+                                                {engine, batch.incarnation},
+                                                core::prefix::prefix_change::evicted,
+                                                core::prefix::evidence::event});
     }
 }
 
 void shared_prefix_knowledge::distribute_gap(const core::prefix::engine_process& process) {
-    std::map<base::router_name, router_contact> keepers;
+    std::map<base::router_name, router_contact> replicas;
     for (const auto& [root, seen_at] : roots_of_engines_[process.engine]) {
-        for (const router_contact& keeper : keepers_of(root)) {
-            keepers.emplace(keeper.name, keeper);
+        for (const router_contact& replica : replicas_of(root)) {
+            replicas.emplace(replica.name, replica);
         }
     }
-    std::vector<router_contact> told;
-    told.reserve(keepers.size());
-    for (const auto& [name, keeper] : keepers) {
-        told.push_back(keeper);
+    std::vector<router_contact> recipients;
+    recipients.reserve(replicas.size());
+    for (const auto& [name, replica] : replicas) {
+        recipients.push_back(replica);
     }
-    distribute(told, {{}, {}, process, core::prefix::prefix_change::events_lost, {}});
+    distribute(recipients, {{}, {}, process, core::prefix::prefix_change::events_lost, {}});
 }
 
-void shared_prefix_knowledge::remember_root(const base::engine_name& engine,
-                                            base::piece_hash root) {
+void shared_prefix_knowledge::record_root(const base::engine_name& engine, base::piece_hash root) {
     roots_seen& roots = roots_of_engines_[engine];
     const base::monotonic_time now = scheduler_.now();
     roots[root] = now;
--- a/src/ferryroad/router/selection/tunables.hpp
+++ b/src/ferryroad/router/selection/tunables.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Constants of engine selection.
+/// Settings of engine selection.
 #pragma once
 
 #include "ferryroad/base/time.hpp"
@@ -10,20 +10,22 @@
 
 namespace ferryroad::router::selection {
 
+/// Settings of `selector`.
 struct selection_tunables {
-    /// Decisions kept for `explain`.
-    std::size_t decisions_kept = 512;
-    /// What a move of warm state is taken to last; 'allowed' turns moves on.
+    /// Number of recent decisions available to `explain`.
+    std::size_t max_logged_decisions = 512;
+    /// Estimated cost of importing warm state from another engine; `allowed` enables imports.
     core::routing::import_estimate import{true, std::chrono::milliseconds(10),
                                           std::chrono::milliseconds(20)};
     core::routing::import_limits import_limits;
-    /// What a caller is told where the pool has no live engine.
+    /// Retry time for callers when the pool has no available engine.
     base::duration retry_after_no_engine = std::chrono::seconds(1);
-    /// Bounds of what a caller is told where no engine can meet the deadline.
+    /// Bounds of the retry time for callers when no engine can meet the deadline.
     base::duration shortest_retry_after = std::chrono::milliseconds(100);
     base::duration longest_retry_after = std::chrono::seconds(30);
 };
 
+/// Default settings.
 inline constexpr selection_tunables default_selection_tunables{};
 
 }  // namespace ferryroad::router::selection
--- a/test/router/backends/backend_service_test.cpp
+++ b/test/router/backends/backend_service_test.cpp
@@ -133,7 +133,7 @@
     }
     ~service_fixture() { scheduler.kill(); }
 
-    void pass(base::duration span) { time.run_until(time.now() + span); }
+    void advance(base::duration span) { time.run_until(time.now() + span); }
     std::size_t available() { return directory.available(pool).size(); }
     std::uint32_t polls() const {
         std::uint32_t sum = 0;
@@ -157,13 +157,13 @@
 
 Test(backend_service, all_engines_are_polled_at_startup) {
     service_fixture fixture(20);
-    fixture.pass(1ms);
+    fixture.advance(1ms);
     cr_assert_eq(fixture.available(), 20U);
 }
 
 Test(backend_service, polls_respect_the_rate_limit_and_skip_recently_reported_loads) {
     service_fixture fixture(200);
-    fixture.pass(10s);
+    fixture.advance(10s);
     cr_assert_eq(fixture.available(), 200U);
     const double max_polls =
         fixture.limits.max_polls_in_flight + 10 * fixture.limits.polls_per_second;
@@ -171,33 +171,33 @@
               fixture.polls());
 
     service_fixture small(1);
-    small.pass(1ms);
+    small.advance(1ms);
     for (int round = 0; round < 50; ++round) {
         small.scheduler.run([&] { small.directory.record_load(e1, report_of(5)); });
-        small.pass(100ms);
+        small.advance(100ms);
     }
     cr_assert_eq(small.polls(), 1U, "answers brought the load all along");
 }
 
 Test(backend_service, a_failure_triggers_a_poll_at_once) {
     service_fixture fixture(2);
-    fixture.pass(100ms);
+    fixture.advance(100ms);
     fixture.engines.loads.erase(1);
     const std::uint32_t before = fixture.engines.polls[1];
     fixture.scheduler.run([&] { fixture.directory.record_failure(e1, error_code::timed_out); });
     cr_assert_eq(fixture.engines.polls[1], before + 1, "no time has passed");
     cr_assert_eq(fixture.available(), 1U, "two failures in a row");
     fixture.engines.loads[1] = report_of(6);
-    fixture.pass(2 * fixture.limits.poll_backoff);
+    fixture.advance(2 * fixture.limits.poll_backoff);
     cr_assert_eq(fixture.available(), 2U);
     cr_assert_eq(fixture.directory.find(e1)->target.incarnation.value, 6U);
 }
 
 Test(backend_service, an_unavailable_machine_list_keeps_the_engines_and_backs_off) {
     service_fixture fixture(3);
-    fixture.pass(100ms);
+    fixture.advance(100ms);
     fixture.machines.outage = true;
-    fixture.pass(60s);
+    fixture.advance(60s);
     cr_assert_eq(fixture.available(), 3U);
     const std::vector<base::monotonic_time>& reads = fixture.machines.read_at;
     cr_assert(reads.size() >= 5U && reads.size() <= 15U, "%zu", reads.size());
@@ -205,7 +205,7 @@
     cr_assert(last >= 0.7 * fixture.limits.list_backoff_limit);
     fixture.machines.outage = false;
     fixture.machines.machines[0].state = platform::machine_state::leaving;
-    fixture.pass(13s);
+    fixture.advance(13s);
     cr_assert_eq(fixture.available(), 2U);
 }
 
@@ -213,7 +213,7 @@
     service_fixture fixture(2);
     fixture.owned = {e1};
     fixture.engines.events[e1] = batch_of(5, 4);
-    fixture.pass(3s);
+    fixture.advance(3s);
     cr_assert_eq(fixture.events.batches.size(), 1U);
     cr_assert(fixture.events.batches[0].first == e1);
     for (const engine::engine_target& target : fixture.engines.event_reads) {
@@ -224,30 +224,30 @@
     engine::cache_event_batch restarted = batch_of(6, 2);
     restarted.gap = true;
     fixture.engines.events[e1] = restarted;
-    fixture.pass(fixture.limits.event_wait * 2);
+    fixture.advance(fixture.limits.event_wait * 2);
     cr_assert_eq(fixture.events.batches.size(), 2U);
     cr_assert_eq(fixture.engines.event_reads.back().incarnation.value, 6U);
     cr_assert_eq(fixture.engines.event_reads_from.back(), 2U);
 
     fixture.owned.clear();
-    fixture.pass(fixture.limits.event_wait * 2);
+    fixture.advance(fixture.limits.event_wait * 2);
     const std::size_t reads = fixture.engines.event_reads.size();
     fixture.engines.events[e1] = batch_of(6, 3);
-    fixture.pass(1min);
+    fixture.advance(1min);
     cr_assert_eq(fixture.engines.event_reads.size(), reads, "no longer the owner");
     fixture.owned = {e1};
-    fixture.pass(2s);
+    fixture.advance(2s);
     cr_assert_eq(fixture.engines.event_reads_from[reads], 1U, "an owner anew reads all");
 }
 
 Test(backend_service, stops) {
     service_fixture fixture(1);
-    fixture.pass(1s);
+    fixture.advance(1s);
     fixture.scheduler.run([&] { fixture.service.stop(); });
-    fixture.pass(1min);
+    fixture.advance(1min);
     const std::uint32_t polls = fixture.polls();
     const std::size_t lists = fixture.machines.read_at.size();
-    fixture.pass(1min);
+    fixture.advance(1min);
     cr_assert_eq(fixture.polls(), polls);
     cr_assert_eq(fixture.machines.read_at.size(), lists);
     cr_assert(fixture.time.failures().empty());
--- a/test/router/claims/faulty_table.hpp
+++ b/test/router/claims/faulty_table.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Scaffolding: the stand-in's table in memory, with latency, outage and lost answers.
+/// Test double: the emulator's in-memory table with injected latency, outages and message loss.
 #pragma once
 
 #include "emulator/platform/table_model.hpp"
@@ -15,8 +15,8 @@
     emulator::table_model& rows;
     base::duration latency = std::chrono::milliseconds(2);
     bool outage = false;
-    int lost_answers = 0;    ///< The next transactions take effect without an answer.
-    int lost_questions = 0;  ///< The next transactions get lost on their way.
+    int lost_answers = 0;   ///< Number of next transactions that commit but get no answer.
+    int lost_requests = 0;  ///< Number of next transactions that are lost before the table.
     bool reads_fail = false;
     std::size_t largest_batch = 0;
     std::size_t calls = 0;
@@ -29,8 +29,8 @@
         if (outage) {
             co_return down();
         }
-        if (lost_questions > 0) {
-            --lost_questions;
+        if (lost_requests > 0) {
+            --lost_requests;
             co_return lost();
         }
         auto outcomes = rows.transact(transactions);
--- a/test/router/claims/table_claim_registry_test.cpp
+++ b/test/router/claims/table_claim_registry_test.cpp
@@ -1,4 +1,5 @@
-/// Claims of two routers on one table, in virtual time: lost answers, outages, dead holders.
+/// Tests claims of two routers on one table in virtual time, with lost answers, outages and
+/// holders that died.
 #include "ferryroad/router/claims/table_claim_registry.hpp"
 
 #include "bench/simulation/virtual_scheduler.hpp"
@@ -16,7 +17,7 @@
 
 namespace {
 
-struct listed_dead final : router::process_liveness {
+struct fake_liveness final : router::process_liveness {
     std::set<base::router_name> dead;
     bool known_dead(const base::router_name& router, base::incarnation) const override {
         return dead.contains(router);
@@ -24,7 +25,7 @@
     std::size_t live_routers() const override { return 2; }
 };
 
-/// One router process and its claims.
+/// One router process with its own claim registry.
 struct process {
     process(bench::simulation::virtual_time& time, emulator::table_model& rows, const char* name,
             std::uint64_t incarnation)
@@ -37,24 +38,25 @@
     bench::simulation::virtual_scheduler scheduler;
     test::faulty_table table;
     platform::batching_table merged{scheduler, table, {{1000, 10}, {}}};
-    listed_dead liveness;
+    fake_liveness liveness;
     router::table_claim_registry registry;
 };
 
 using claimed = runtime::result<router::claim_result, platform::error>;
 using closed = runtime::result<void, platform::error>;
 
-runtime::task<void> keep_claim(process& by, router::claim_request request,
-                               std::optional<claimed>& into) {
-    into = co_await by.registry.claim(std::move(request));
+runtime::task<void> run_claim(process& router_process, router::claim_request request,
+                              std::optional<claimed>& destination) {
+    destination = co_await router_process.registry.claim(std::move(request));
 }
-runtime::task<void> keep_finish(process& by, router::claim_request request,
-                                router::recorded_outcome outcome, std::optional<closed>& into) {
-    into = co_await by.registry.finish(std::move(request), std::move(outcome));
+runtime::task<void> run_finish(process& router_process, router::claim_request request,
+                               router::recorded_outcome outcome,
+                               std::optional<closed>& destination) {
+    destination = co_await router_process.registry.finish(std::move(request), std::move(outcome));
 }
-runtime::task<void> keep_release(process& by, router::claim_request request,
-                                 std::optional<closed>& into) {
-    into = co_await by.registry.release(std::move(request));
+runtime::task<void> run_release(process& router_process, router::claim_request request,
+                                std::optional<closed>& destination) {
+    destination = co_await router_process.registry.release(std::move(request));
 }
 
 router::claim_request request_of(const char* attempt, const char* content = "c") {
@@ -75,31 +77,35 @@
     process first{time, rows, "r1", 1};
     process second{time, rows, "r2", 1};
 
-    void pass(base::duration span) {
+    void advance(base::duration span) {
         time.run_until(time.now() + span);
         cr_assert(time.failures().empty());
     }
-    claimed claim(process& by, const char* attempt, const char* content = "c") {
+    claimed claim(process& router_process, const char* attempt, const char* content = "c") {
         answers.emplace_back();
-        by.scheduler.spawn("claim", keep_claim(by, request_of(attempt, content), answers.back()));
-        pass(1min);
+        router_process.scheduler.spawn(
+            "claim", run_claim(router_process, request_of(attempt, content), answers.back()));
+        advance(1min);
         return *answers.back();
     }
-    claim_answer answer(process& by, const char* attempt, const char* content = "c") {
-        const auto result = claim(by, attempt, content);
+    claim_answer answer(process& router_process, const char* attempt, const char* content = "c") {
+        const auto result = claim(router_process, attempt, content);
         cr_assert(result.has_value());
         return result->answer;
     }
-    void finish(process& by, const char* attempt, const router::recorded_outcome& outcome) {
+    void finish(process& router_process, const char* attempt,
+                const router::recorded_outcome& outcome) {
         std::optional<closed> end;
-        by.scheduler.spawn("finish", keep_finish(by, request_of(attempt), outcome, end));
-        pass(1min);
+        router_process.scheduler.spawn(
+            "finish", run_finish(router_process, request_of(attempt), outcome, end));
+        advance(1min);
         cr_assert(end.has_value());
     }
-    void release(process& by, const char* attempt) {
+    void release(process& router_process, const char* attempt) {
         std::optional<closed> end;
-        by.scheduler.spawn("release", keep_release(by, request_of(attempt), end));
-        pass(1min);
+        router_process.scheduler.spawn("release",
+                                       run_release(router_process, request_of(attempt), end));
+        advance(1min);
         cr_assert(end.has_value());
     }
     std::deque<std::optional<claimed>> answers;
@@ -110,9 +116,9 @@
 Test(table_claim_registry, one_of_two_routers_is_granted) {
     two_routers run;
     std::optional<claimed> one, other;
-    run.first.scheduler.spawn("claim", keep_claim(run.first, request_of("a1"), one));
-    run.second.scheduler.spawn("claim", keep_claim(run.second, request_of("a2"), other));
-    run.pass(1min);
+    run.first.scheduler.spawn("claim", run_claim(run.first, request_of("a1"), one));
+    run.second.scheduler.spawn("claim", run_claim(run.second, request_of("a2"), other));
+    run.advance(1min);
     const bool first_won = (*one)->answer == claim_answer::granted;
     const bool second_won = (*other)->answer == claim_answer::granted;
     cr_assert_neq(first_won, second_won);
@@ -128,12 +134,12 @@
     cr_assert_eq(run.answer(run.second, "a3", "other"), claim_answer::other_content);
 }
 
-Test(table_claim_registry, a_repeat_waits_a_moment_for_the_outcome) {
+Test(table_claim_registry, a_repeat_waits_briefly_for_the_outcome) {
     two_routers run;
     cr_assert_eq(run.answer(run.first, "a1"), claim_answer::granted);
     std::optional<claimed> repeated;
-    run.second.scheduler.spawn("claim", keep_claim(run.second, request_of("a2"), repeated));
-    run.pass(100ms);
+    run.second.scheduler.spawn("claim", run_claim(run.second, request_of("a2"), repeated));
+    run.advance(100ms);
     cr_assert_not(repeated.has_value());
     run.finish(run.first, "a1", done());
     cr_assert_eq((*repeated)->answer, claim_answer::finished);
@@ -153,9 +159,9 @@
     cr_assert_eq(run.answer(run.second, "a2"), claim_answer::in_progress);
 }
 
-Test(table_claim_registry, lost_question_is_asked_again) {
+Test(table_claim_registry, lost_request_is_sent_again) {
     two_routers run;
-    run.first.table.lost_questions = 1;
+    run.first.table.lost_requests = 1;
     cr_assert_eq(run.answer(run.first, "a1"), claim_answer::granted);
 }
 
@@ -167,7 +173,7 @@
     cr_assert_eq(run.answer(run.second, "a2"), claim_answer::finished);
 }
 
-Test(table_claim_registry, an_outage_refuses_with_a_time) {
+Test(table_claim_registry, an_outage_refuses_with_a_retry_time) {
     two_routers run;
     run.first.table.outage = true;
     const auto refused = run.claim(run.first, "a1");
@@ -198,7 +204,7 @@
     cr_assert_eq(repeated->outcome->execution, core::execution::execution_report::unknown);
 }
 
-Test(table_claim_registry, a_restarted_router_knows_its_own_earlier_process_dead) {
+Test(table_claim_registry, a_restarted_router_treats_its_previous_process_as_dead) {
     two_routers run;
     cr_assert_eq(run.answer(run.first, "a1"), claim_answer::granted);
     run.first.scheduler.kill();
@@ -206,14 +212,14 @@
     cr_assert_eq(run.answer(restarted, "a2"), claim_answer::finished);
 }
 
-Test(table_claim_registry, a_claim_at_work_too_long_closes_the_key) {
+Test(table_claim_registry, a_claim_that_runs_too_long_closes_the_key) {
     two_routers run;
     cr_assert_eq(run.answer(run.first, "a1"), claim_answer::granted);
-    run.pass(coordination::claim::tunables{}.longest_work);
+    run.advance(coordination::claim::tunables{}.longest_work);
     cr_assert_eq(run.answer(run.second, "a2"), claim_answer::finished);
     run.finish(run.first, "a1", done());
     const auto repeated = run.claim(run.second, "a3");
-    cr_assert(repeated->outcome->body == "done", "the holder lived and says what came of it");
+    cr_assert(repeated->outcome->body == "done", "the holder was alive and recorded the outcome");
 }
 
 Test(table_claim_registry, a_key_of_unknown_outcome_stays_closed) {
@@ -231,27 +237,27 @@
     for (int index = 0; index < claims; ++index) {
         auto request = request_of(("a" + std::to_string(index)).c_str());
         request.key = base::idempotency_key("k" + std::to_string(index));
-        auto& into = answers[static_cast<std::size_t>(index)];
-        run.first.scheduler.spawn("claim", keep_claim(run.first, request, into));
+        auto& destination = answers[static_cast<std::size_t>(index)];
+        run.first.scheduler.spawn("claim", run_claim(run.first, request, destination));
     }
-    run.pass(1s);
+    run.advance(1s);
     for (const auto& each : answers) {
         cr_assert_eq((*each)->answer, claim_answer::granted);
     }
     cr_assert_leq(run.first.table.calls, 5U);
 }
 
-Test(table_claim_registry, sweep_forgets_old_claims_and_closes_abandoned_ones) {
+Test(table_claim_registry, sweep_deletes_expired_claims_and_closes_abandoned_ones) {
     two_routers run;
     cr_assert_eq(run.answer(run.first, "a1"), claim_answer::granted);
     run.finish(run.first, "a1", done());
     auto abandoned = request_of("b1");
     abandoned.key = base::idempotency_key("abandoned");
     std::optional<claimed> other;
-    run.first.scheduler.spawn("claim", keep_claim(run.first, abandoned, other));
-    run.pass(coordination::claim::tunables{}.retention);
+    run.first.scheduler.spawn("claim", run_claim(run.first, abandoned, other));
+    run.advance(coordination::claim::tunables{}.retention);
     run.second.scheduler.spawn("sweep", run.second.registry.sweep_for_ever());
-    run.pass(10min);
+    run.advance(10min);
     const auto left = run.rows.scan("claim/", {}, 10);
     cr_assert_eq(left.size(), 1U);
     const auto marked = coordination::claim::try_decode(left.front().value);
--- a/test/router/selection/fake_directory.hpp
+++ b/test/router/selection/fake_directory.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// An engine directory that holds what a test puts in.
+/// Test double of the engine directory; tests add the engines.
 #pragma once
 
 #include "ferryroad/router/engine_directory.hpp"
--- a/test/router/selection/fake_exchange.hpp
+++ b/test/router/selection/fake_exchange.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Routers that share an index over a network a test can break.
+/// Test doubles: routers that share an index over a network with injected faults.
 #pragma once
 
 #include "bench/simulation/virtual_scheduler.hpp"
@@ -16,7 +16,7 @@
 
 namespace selection = router::selection;
 
-/// The network between the routers of a test.
+/// Simulated network between the routers of a test.
 struct fake_network {
     explicit fake_network(runtime::scheduler& owner) : scheduler(owner) {}
 
@@ -25,12 +25,12 @@
     std::map<base::router_name, selection::shared_prefix_knowledge*> routers;
     std::set<base::router_name> silent;
     int reports_to_lose = 0;
-    /// Added to every answer.
+    /// Invalid holders added to every answer.
     std::vector<core::prefix::holder> forged;
 };
 
-/// One router's way out: delivers directly, after a delay; calls to a silent router end at
-/// their limit.
+/// One router's exchange with the others. Calls are delivered directly after a delay; calls to a
+/// silent router time out.
 class fake_exchange final : public selection::prefix_exchange {
   public:
     fake_exchange(fake_network& network, base::router_name self)
@@ -92,7 +92,7 @@
             exchanges.push_back(std::make_unique<fake_exchange>(network, name_of(router)));
             start(router);
         }
-        // All have seen each other, and none is young any more.
+        // All routers see each other, and their warm-up time passes.
         for (auto& each : knowledge) {
             each->report_incarnation({base::engine_name("e"), base::incarnation(1)});
             lookup_on(*each, {}, {base::piece_hash(1)});
@@ -104,7 +104,7 @@
         return base::router_name("router" + std::to_string(router));
     }
 
-    /// Starts, or restarts empty.
+    /// Starts a router, or restarts it with an empty index.
     void start(int router) {
         const auto index = static_cast<std::size_t>(router);
         auto started = std::make_unique<selection::shared_prefix_knowledge>(
@@ -138,28 +138,28 @@
     std::vector<std::unique_ptr<fake_exchange>> exchanges;
     fake_live_routers live;
     std::vector<std::unique_ptr<selection::shared_prefix_knowledge>> knowledge;
-    /// Their coroutines may still wait.
+    /// Replaced by a restart; kept because their coroutines may still be suspended.
     std::vector<std::unique_ptr<selection::shared_prefix_knowledge>> retired;
-    /// How long the last lookup took.
-    base::duration last_lookup_took{};
+    /// Duration of the last lookup.
+    base::duration last_lookup_duration{};
 
   private:
     static runtime::task<void> look_up(selection::shared_prefix_knowledge& knowledge,
                                        core::prefix::cache_namespace scope,
                                        core::prefix::piece_chain pieces,
-                                       std::optional<selection::prefix_answer>& into) {
-        into = co_await knowledge.lookup(std::move(scope), std::move(pieces));
+                                       std::optional<selection::prefix_answer>& destination) {
+        destination = co_await knowledge.lookup(std::move(scope), std::move(pieces));
     }
 
-    selection::prefix_answer lookup_on(selection::shared_prefix_knowledge& asked,
+    selection::prefix_answer lookup_on(selection::shared_prefix_knowledge& target,
                                        const core::prefix::cache_namespace& scope,
                                        const core::prefix::piece_chain& pieces) {
         std::optional<selection::prefix_answer> answer;
         const auto asked_at = time.now();
-        scheduler.spawn("lookup", look_up(asked, scope, pieces, answer));
+        scheduler.spawn("lookup", look_up(target, scope, pieces, answer));
         while (!answer && time.run_next()) {
         }
-        last_lookup_took = time.now() - asked_at;
+        last_lookup_duration = time.now() - asked_at;
         return answer.value();
     }
 
--- a/test/router/selection/prefix_link_test.cpp
+++ b/test/router/selection/prefix_link_test.cpp
@@ -1,4 +1,4 @@
-/// The shared index over encoded messages: what goes in comes out, and what an answer costs.
+/// Tests the shared index over encoded messages: round trips, message sizes and invalid answers.
 #include "ferryroad/router/membership/prefix_link.hpp"
 
 #include "bench/simulation/virtual_scheduler.hpp"
@@ -24,7 +24,7 @@
 const router_contact other{base::router_name("other"), base::incarnation(1), {"127.0.0.1", 2}};
 const core::prefix::engine_process engine_a{base::engine_name("a"), base::incarnation(7)};
 
-/// Hands each call to the other side's handler at once, or gives a fixed answer.
+/// Passes each call directly to the other side's handler, or returns a fixed answer.
 class direct_transport final : public peer::transport {
   public:
     direct_transport* other_side = nullptr;
@@ -59,7 +59,7 @@
     return chain;
 }
 
-/// This router's exchange with one other that answers through the codec.
+/// Exchange between this router and another one through the message codec.
 struct pair_of_routers {
     bench::simulation::virtual_time time{1};
     bench::simulation::virtual_scheduler scheduler{time, 1};
@@ -80,8 +80,8 @@
     }
 
     template <typename T>
-    static runtime::task<void> finish(runtime::task<T> work, std::optional<T>& into) {
-        into = co_await std::move(work);
+    static runtime::task<void> finish(runtime::task<T> work, std::optional<T>& destination) {
+        destination = co_await std::move(work);
     }
     template <typename T>
     T run(runtime::task<T> work) {
@@ -94,15 +94,15 @@
     auto report(core::prefix::prefix_change change, std::size_t pieces,
                 core::prefix::evidence why = core::prefix::evidence::dispatch) {
         const bool lost = change == core::prefix::prefix_change::events_lost;
-        core::prefix::prefix_report told{lost ? core::prefix::cache_namespace{} : scope,
+        core::prefix::prefix_report sent{lost ? core::prefix::cache_namespace{} : scope,
                                          chain_of(pieces), engine_a, change, why};
-        return run(exchange.report(other, {told}, 1s));
+        return run(exchange.report(other, {sent}, 1s));
     }
     auto lookup() { return run(exchange.lookup(other, scope, chain_of(13), 1s)); }
 };
 
 struct fault_row {
-    const char* about;
+    const char* description;
     peer::result<peer::message_bytes> answer;
     exchange_failure expected;
 };
@@ -121,7 +121,7 @@
 
 }  // namespace
 
-Test(prefix_link, reports_and_answers_survive_the_wire) {
+Test(prefix_link, reports_and_answers_round_trip) {
     pair_of_routers pair;
     cr_assert(pair.report(core::prefix::prefix_change::held, 2, core::prefix::evidence::answer)
                   .has_value());
@@ -132,12 +132,12 @@
     cr_assert_eq(answer->holders.front().pieces, 5);
     cr_assert(answer->request_rate > 0);
     cr_assert(pair.report(core::prefix::prefix_change::events_lost, 0).has_value());
-    cr_assert_eq(pair.lookup()->holders.front().pieces, 2, "what an answer confirmed stays");
+    cr_assert_eq(pair.lookup()->holders.front().pieces, 2, "pieces confirmed by an answer remain");
     cr_assert(pair.report(core::prefix::prefix_change::evicted, 1).has_value());
     cr_assert(pair.lookup()->holders.empty());
 }
 
-Test(prefix_link, other_calls_are_left_to_others) {
+Test(prefix_link, calls_of_other_kinds_are_not_answered) {
     pair_of_routers pair;
     const auto ask = [&pair](peer::call_body body) {
         const peer::call message{self.name, self.incarnation, std::move(body)};
@@ -169,9 +169,9 @@
     pair_of_routers pair;
     pair.transport.fixed_answer = row.answer;
     const auto looked_up = pair.lookup();
-    cr_assert(looked_up.has_error(), "%s", row.about);
-    cr_assert(looked_up.error().failure == row.expected, "%s", row.about);
+    cr_assert(looked_up.has_error(), "%s", row.description);
+    cr_assert(looked_up.error().failure == row.expected, "%s", row.description);
     const auto reported = pair.report(core::prefix::prefix_change::held, 2);
-    cr_assert(reported.has_error(), "%s", row.about);
-    cr_assert(reported.error().failure == row.expected, "%s", row.about);
+    cr_assert(reported.has_error(), "%s", row.description);
+    cr_assert(reported.error().failure == row.expected, "%s", row.description);
 }
--- a/test/router/selection/selector_test.cpp
+++ b/test/router/selection/selector_test.cpp
@@ -1,5 +1,5 @@
-/// The selector on a directory and the local index: what it learns, whom it never sends to,
-/// when it refuses and what it explains.
+/// Tests the selector with a fake directory and the local index: cache estimates, ineligible
+/// engines, imports, refusals and explanations.
 #include "ferryroad/router/selection/selector.hpp"
 
 #include "bench/simulation/virtual_scheduler.hpp"
@@ -24,20 +24,20 @@
 using selection_result = runtime::result<selected_engine, selection_error>;
 
 runtime::task<void> select_into(selection::selector& selector, selection_query query,
-                                std::optional<selection_result>& into) {
-    into = co_await selector.select(std::move(query));
+                                std::optional<selection_result>& destination) {
+    destination = co_await selector.select(std::move(query));
 }
 
-/// One router's selector under virtual time.
-struct bench_of_one {
+/// The selector of one router in virtual time.
+struct selector_fixture {
     virtual_time time{1};
     virtual_scheduler scheduler{time, 1};
     test::fake_directory directory;
     selection::local_prefix_knowledge knowledge{scheduler};
     selection::selector selector;
 
-    explicit bench_of_one(std::string_view policy = "cost",
-                          selection::selection_tunables tunables = {})
+    explicit selector_fixture(std::string_view policy = "cost",
+                              selection::selection_tunables tunables = {})
         : selector(directory, knowledge, core::routing::make_policy(policy), scheduler, tunables) {}
 
     selection_result select(selection_query query) {
@@ -77,10 +77,10 @@
     return started;
 }
 
-/// One engine that must not get the request.
+/// A reason why an engine must not get the request.
 struct ineligible_row {
-    const char* about;
-    void (*spoil)(engine_view&, selection_query&);
+    const char* description;
+    void (*make_ineligible)(engine_view&, selection_query&);
 };
 
 const ineligible_row ineligible_rows[] = {
@@ -116,49 +116,49 @@
 
 ParameterizedTest(std::size_t* number, selector, ineligible_table) {
     const ineligible_row& row = ineligible_rows[*number];
-    bench_of_one bench;
-    bench.directory.add("a");
+    selector_fixture fixture;
+    fixture.directory.add("a");
     auto query = query_of("r1");
-    cr_assert(bench.select(query).has_value(), "%s", row.about);
-    row.spoil(bench.directory.engines.front(), query);
-    const auto refused = bench.select(query);
-    cr_assert(refused.has_error(), "%s", row.about);
+    cr_assert(fixture.select(query).has_value(), "%s", row.description);
+    row.make_ineligible(fixture.directory.engines.front(), query);
+    const auto refused = fixture.select(query);
+    cr_assert(refused.has_error(), "%s", row.description);
     cr_assert(refused.error().failure == selection_failure::no_engine);
     cr_assert(refused.error().retry_after > 0s);
 }
 
-Test(selector, follows_its_own_dispatches) {
-    bench_of_one bench;
+Test(selector, prefers_the_engine_of_an_earlier_dispatch) {
+    selector_fixture fixture;
     for (int engine = 0; engine < 8; ++engine) {
-        bench.directory.add("engine" + std::to_string(engine));
+        fixture.directory.add("engine" + std::to_string(engine));
     }
-    const auto first = bench.select(query_of("r1"));
-    const auto second = bench.select(query_of("r2"));
+    const auto first = fixture.select(query_of("r1"));
+    const auto second = fixture.select(query_of("r2"));
     cr_assert_eq(first->expected_cached_pieces, 0);
     cr_assert(second->target.name == first->target.name);
     cr_assert_eq(second->expected_cached_pieces, 10);
 }
 
-Test(selector, another_tenants_pieces_count_for_nothing) {
-    bench_of_one bench;
-    bench.directory.add("a");
-    bench.select(query_of("r1", "alpha"));
-    cr_assert_eq(bench.select(query_of("r2", "beta"))->expected_cached_pieces, 0);
+Test(selector, another_tenants_pieces_are_ignored) {
+    selector_fixture fixture;
+    fixture.directory.add("a");
+    fixture.select(query_of("r1", "alpha"));
+    cr_assert_eq(fixture.select(query_of("r2", "beta"))->expected_cached_pieces, 0);
 }
 
-Test(selector, a_dead_incarnations_pieces_count_for_nothing) {
-    bench_of_one bench;
-    bench.directory.add("a");
+Test(selector, a_dead_incarnations_pieces_are_ignored) {
+    selector_fixture fixture;
+    fixture.directory.add("a");
     const auto query = query_of("r1");
-    const auto selected = bench.select(query);
-    bench.selector.record_started(query, *selected, started_with(0));
-    bench.directory.engines.front().target.incarnation = base::incarnation(2);
-    cr_assert_eq(bench.select(query_of("r2"))->expected_cached_pieces, 0);
+    const auto selected = fixture.select(query);
+    fixture.selector.record_started(query, *selected, started_with(0));
+    fixture.directory.engines.front().target.incarnation = base::incarnation(2);
+    cr_assert_eq(fixture.select(query_of("r2"))->expected_cached_pieces, 0);
 }
 
 Test(selector, events_add_and_evict) {
-    bench_of_one bench;
-    bench.directory.add("a");
+    selector_fixture fixture;
+    fixture.directory.add("a");
     const auto query = query_of("r1");
     engine::cache_event_batch batch;
     batch.incarnation = base::incarnation(1);
@@ -172,134 +172,136 @@
                             .scope = query.scope,
                             .root = query.pieces[0],
                             .piece = query.pieces[2]});
-    bench.knowledge.report_events(base::engine_name("a"), batch);
-    cr_assert_eq(bench.select(query)->expected_cached_pieces, 2);
+    fixture.knowledge.report_events(base::engine_name("a"), batch);
+    cr_assert_eq(fixture.select(query)->expected_cached_pieces, 2);
     batch = {.incarnation = base::incarnation(1), .gap = true};
-    bench.knowledge.report_events(base::engine_name("a"), batch);
-    cr_assert_eq(bench.select(query_of("r2", "beta"))->expected_cached_pieces, 0);
+    fixture.knowledge.report_events(base::engine_name("a"), batch);
+    cr_assert_eq(fixture.select(query_of("r2", "beta"))->expected_cached_pieces, 0);
 }
 
 namespace {
 
-/// Engine "a" holds the prompt and has a long queue; "b" to "d" are idle and empty.
-void add_loaded_holder(bench_of_one& bench) {
+/// Adds engine "a", which holds the prompt and has a long queue, and engines "b" to "d", which are
+/// idle and have empty caches.
+void add_loaded_holder(selector_fixture& fixture) {
     const auto query = query_of("r0");
-    bench.directory.add("a", 60000).reported_at = bench.scheduler.now();
-    bench.directory.add("b");
-    bench.directory.add("c");
-    bench.directory.add("d");
-    bench.knowledge.report({query.scope,
-                            query.pieces,
-                            {base::engine_name("a"), base::incarnation(1)},
-                            core::prefix::evidence::answer});
+    fixture.directory.add("a", 60000).reported_at = fixture.scheduler.now();
+    fixture.directory.add("b");
+    fixture.directory.add("c");
+    fixture.directory.add("d");
+    fixture.knowledge.report({query.scope,
+                              query.pieces,
+                              {base::engine_name("a"), base::incarnation(1)},
+                              core::prefix::evidence::answer});
 }
 
 }  // namespace
 
-Test(selector, work_that_others_sent_counts_as_queue) {
-    bench_of_one bench;
-    const engine_view& engine = bench.directory.add("a");
+Test(selector, dispatches_of_other_routers_count_as_queued) {
+    selector_fixture fixture;
+    const engine_view& engine = fixture.directory.add("a");
     selection::prefix_answer knowledge;
     const core::prefix::engine_process process{engine.target.name, engine.target.incarnation};
     const core::prefix::engine_process dead{engine.target.name, base::incarnation(7)};
     knowledge.dispatches = {{process, 5000, 100ms}, {process, 7000, 3s}, {dead, 9000, 100ms}};
     const auto now = engine.reported_at + 1s;
-    const auto question =
-        selection::to_routing_query(query_of("r1"), bench.directory.engines, knowledge, now);
-    cr_assert(question.candidates.front().queue_wait == 500ms, "5,000 at 10,000 a second");
+    const auto policy_query =
+        selection::to_routing_query(query_of("r1"), fixture.directory.engines, knowledge, now);
+    cr_assert(policy_query.candidates.front().queue_wait == 500ms,
+              "5,000 tokens at 10,000 per second");
 }
 
-Test(selector, moves_warm_state_away_from_a_loaded_holder) {
-    bench_of_one bench;
-    add_loaded_holder(bench);
+Test(selector, imports_warm_state_from_a_loaded_holder) {
+    selector_fixture fixture;
+    add_loaded_holder(fixture);
     const auto query = query_of("r1");
-    const auto selected = bench.select(query);
+    const auto selected = fixture.select(query);
     cr_assert(selected->import.has_value());
     cr_assert(selected->target.name != base::engine_name("a"));
     cr_assert(selected->import->source.name == base::engine_name("a"));
     cr_assert(selected->import->pieces == query.pieces);
     cr_assert(selected->import->scope == query.scope);
     cr_assert_eq(selected->expected_cached_pieces, 10);
-    const auto record = bench.selector.explain(query.request);
+    const auto record = fixture.selector.explain(query.request);
     for (const auto& candidate : record->candidates) {
         cr_assert_eq(candidate.import > 0s, candidate.engine != base::engine_name("a"));
     }
 }
 
-Test(selector, moves_are_capped_and_freed_by_the_answer) {
-    bench_of_one bench("cost", {.import_limits = {.at_once = 1}});
-    add_loaded_holder(bench);
+Test(selector, imports_are_limited_and_released_by_the_answer) {
+    selector_fixture fixture("cost", {.import_limits = {.at_once = 1}});
+    add_loaded_holder(fixture);
     auto query = query_of("r1");
-    const auto first = bench.select(query);
+    const auto first = fixture.select(query);
     cr_assert(first->import.has_value());
     query.excluded.push_back(first->target.name);
-    const auto second = bench.select(query);
+    const auto second = fixture.select(query);
     cr_assert(!second->import.has_value());
-    cr_assert_eq(bench.selector.import_counts().over_limit, 1);
-    bench.selector.record_started(query_of("r1"), *first, started_with(10));
+    cr_assert_eq(fixture.selector.import_counts().over_limit, 1);
+    fixture.selector.record_started(query_of("r1"), *first, started_with(10));
     query.excluded.push_back(second->target.name);
-    cr_assert(bench.select(query)->import.has_value());
+    cr_assert(fixture.select(query)->import.has_value());
 }
 
-Test(selector, a_refused_request_keeps_no_move) {
-    bench_of_one bench("cost", {.import_limits = {.at_once = 1}});
-    add_loaded_holder(bench);
+Test(selector, a_refused_request_releases_its_import) {
+    selector_fixture fixture("cost", {.import_limits = {.at_once = 1}});
+    add_loaded_holder(fixture);
     auto query = query_of("r1");
     query.time_left = 1ms;
-    cr_assert(bench.select(query).has_error());
+    cr_assert(fixture.select(query).has_error());
     query.time_left = 10s;
-    cr_assert(bench.select(query)->import.has_value());
+    cr_assert(fixture.select(query)->import.has_value());
 }
 
 Test(selector, refuses_at_once_when_no_engine_can_meet_the_deadline) {
-    bench_of_one bench;
-    bench.directory.add("a", 200000).reported_at = bench.scheduler.now();
+    selector_fixture fixture;
+    fixture.directory.add("a", 200000).reported_at = fixture.scheduler.now();
     auto query = query_of("r1");
     query.time_left = 1s;
-    const auto refused = bench.select(query);
+    const auto refused = fixture.select(query);
     cr_assert(refused.has_error());
     cr_assert(refused.error().failure == selection_failure::deadline_too_near);
     cr_assert(refused.error().retry_after >= 100ms);
-    cr_assert_eq(bench.selector.counters().refused_deadline, 1);
+    cr_assert_eq(fixture.selector.counters().refused_deadline, 1);
 }
 
-Test(selector, explains_recent_decisions_and_forgets_old_ones) {
-    bench_of_one bench("cost", {.decisions_kept = 2});
-    bench.directory.add("a");
-    bench.directory.add("b", 50000).reported_at = bench.scheduler.now();
-    bench.select(query_of("r1"));
-    const auto record = bench.selector.explain(base::request_id("r1"));
+Test(selector, explains_only_recent_decisions) {
+    selector_fixture fixture("cost", {.max_logged_decisions = 2});
+    fixture.directory.add("a");
+    fixture.directory.add("b", 50000).reported_at = fixture.scheduler.now();
+    fixture.select(query_of("r1"));
+    const auto record = fixture.selector.explain(base::request_id("r1"));
     cr_assert(record.has_value());
     cr_assert_str_eq(record->policy.c_str(), "cost");
     cr_assert_eq(record->candidates.size(), 2);
     for (const auto& candidate : record->candidates) {
         cr_assert_eq(candidate.chosen, candidate.engine == base::engine_name("a"));
     }
-    bench.select(query_of("r2"));
-    bench.select(query_of("r3"));
-    cr_assert(!bench.selector.explain(base::request_id("r1")).has_value());
-    cr_assert(bench.selector.explain(base::request_id("r3")).has_value());
+    fixture.select(query_of("r2"));
+    fixture.select(query_of("r3"));
+    cr_assert(!fixture.selector.explain(base::request_id("r1")).has_value());
+    cr_assert(fixture.selector.explain(base::request_id("r3")).has_value());
 }
 
 Test(selector, application_requests_need_no_pieces) {
-    bench_of_one bench;
-    bench.directory.add("a");
+    selector_fixture fixture;
+    fixture.directory.add("a");
     selection_query query;
     query.request = base::request_id("r1");
     query.time_left = 1s;
-    cr_assert(bench.select(query).has_value());
+    cr_assert(fixture.select(query).has_value());
 }
 
-Test(selector, counts_what_answers_reveal) {
-    bench_of_one bench;
-    bench.directory.add("a");
+Test(selector, counts_estimation_errors) {
+    selector_fixture fixture;
+    fixture.directory.add("a");
     const auto query = query_of("r1");
-    auto selected = bench.select(query);
-    bench.selector.record_started(query, *selected, started_with(4));
-    cr_assert_eq(bench.selector.counters().pieces_underestimated, 4);
-    selected = bench.select(query);
-    bench.selector.record_started(query, *selected, started_with(7));
-    cr_assert_eq(bench.selector.counters().pieces_overestimated, 3);
-    cr_assert_eq(bench.selector.counters().pieces_total, 20);
-    cr_assert_eq(bench.selector.counters().pieces_cached, 11);
+    auto selected = fixture.select(query);
+    fixture.selector.record_started(query, *selected, started_with(4));
+    cr_assert_eq(fixture.selector.counters().pieces_underestimated, 4);
+    selected = fixture.select(query);
+    fixture.selector.record_started(query, *selected, started_with(7));
+    cr_assert_eq(fixture.selector.counters().pieces_overestimated, 3);
+    cr_assert_eq(fixture.selector.counters().pieces_total, 20);
+    cr_assert_eq(fixture.selector.counters().pieces_cached, 11);
 }
--- a/test/router/selection/shared_prefix_knowledge_test.cpp
+++ b/test/router/selection/shared_prefix_knowledge_test.cpp
@@ -1,5 +1,5 @@
-/// The index shared between routers: what one learns the others know, also after the owner's
-/// crash or restart, under loss and late reports, and never for longer than a few milliseconds.
+/// Tests the index shared between routers: what one router reports, the others find, also after
+/// the owner's crash or restart and with lost or late reports. Lookups stay within their timeout.
 #include "ferryroad/core/prefix/ownership.hpp"
 #include "test/router/selection/fake_exchange.hpp"
 
@@ -20,8 +20,8 @@
     base::tenant_name("alpha"), base::model_name("m"), base::weights_version("1"), {}};
 const core::prefix::engine_process engine_a{base::engine_name("a"), base::incarnation(1)};
 constexpr int router_count = 4;
-/// Longer than a report's wait and its way.
-constexpr base::duration settled = 100ms;
+/// Longer than it takes to batch and deliver a report.
+constexpr base::duration propagation_time = 100ms;
 
 core::prefix::piece_chain chain_of(std::size_t pieces) {
     core::prefix::piece_chain chain;
@@ -31,21 +31,21 @@
     return chain;
 }
 
-/// Routers by their part for the root of `chain_of`.
-struct parts {
+/// Indices of the routers by their role for the root of `chain_of`.
+struct router_roles {
     int owner = -1;
     int standby = -1;
     int third = -1;
     int fourth = -1;
 };
 
-parts parts_in(const router_group& group) {
+router_roles roles_in(const router_group& group) {
     std::vector<base::router_name> names;
     for (const auto& contact : group.live.contacts) {
         names.push_back(contact.name);
     }
     const auto owners = *core::prefix::owners_of(chain_of(1).front(), names);
-    parts found{static_cast<int>(owners.owner), static_cast<int>(*owners.standby)};
+    router_roles found{static_cast<int>(owners.owner), static_cast<int>(*owners.standby)};
     for (int router = 0; router < router_count; ++router) {
         if (router != found.owner && router != found.standby) {
             (found.third < 0 ? found.third : found.fourth) = router;
@@ -60,7 +60,7 @@
         {scope, chain_of(pieces), process, why});
 }
 
-std::uint32_t depth_seen(router_group& group, int router) {
+std::uint32_t longest_match(router_group& group, int router) {
     const auto answer = group.lookup(router, scope, chain_of(10));
     return answer.holders.empty() ? 0 : answer.holders.front().pieces;
 }
@@ -77,152 +77,154 @@
 
 }  // namespace
 
-Test(shared_prefix_knowledge, every_router_knows_what_one_has_dispatched) {
+Test(shared_prefix_knowledge, a_dispatch_of_one_router_is_known_to_all) {
     router_group group(router_count);
     for (int router = 0; router < router_count; ++router) {
         report(group, router, 3 + static_cast<std::size_t>(router));
-        group.run(settled);
+        group.run(propagation_time);
         for (int other = 0; other < router_count; ++other) {
-            cr_assert_eq(depth_seen(group, other), 3 + router);
+            cr_assert_eq(longest_match(group, other), 3 + router);
         }
     }
 }
 
-Test(shared_prefix_knowledge, own_dispatches_count_before_the_owner_has_them) {
+Test(shared_prefix_knowledge, own_dispatches_count_before_they_reach_the_owner) {
     router_group group(router_count);
-    const auto part = parts_in(group);
-    report(group, part.third, 3);
-    cr_assert_eq(depth_seen(group, part.third), 3);
+    const auto roles = roles_in(group);
+    report(group, roles.third, 3);
+    cr_assert_eq(longest_match(group, roles.third), 3);
 }
 
 Test(shared_prefix_knowledge, the_standby_answers_when_the_owner_has_crashed) {
     router_group group(router_count);
-    const auto part = parts_in(group);
-    report(group, part.third, 3);
-    group.run(settled);
-    group.network.silent.insert(router_group::name_of(part.owner));
-    cr_assert_eq(depth_seen(group, part.fourth), 3);
-    cr_assert(group.last_lookup_took <= 8ms, "one limit and one exchange");
-    // A moment later the owner is passed over at once.
-    cr_assert_eq(depth_seen(group, part.fourth), 3);
-    cr_assert(group.last_lookup_took <= 3ms);
-    // Once it is known to be gone the standby owns the root, and a third stands behind.
-    group.leave(part.owner);
-    const auto answer = group.lookup(part.fourth, scope, chain_of(10));
+    const auto roles = roles_in(group);
+    report(group, roles.third, 3);
+    group.run(propagation_time);
+    group.network.silent.insert(router_group::name_of(roles.owner));
+    cr_assert_eq(longest_match(group, roles.fourth), 3);
+    cr_assert(group.last_lookup_duration <= 8ms, "one timeout and one round trip");
+    // The next lookup avoids the failed owner.
+    cr_assert_eq(longest_match(group, roles.fourth), 3);
+    cr_assert(group.last_lookup_duration <= 3ms);
+    // After the owner has left, the standby owns the root and a third router is its standby.
+    group.leave(roles.owner);
+    const auto answer = group.lookup(roles.fourth, scope, chain_of(10));
     cr_assert_eq(answer.holders.front().pieces, 3);
     cr_assert(answer.source == answer_source::owner);
 }
 
-Test(shared_prefix_knowledge, an_owner_that_restarted_empty_is_asked_with_its_standby) {
+Test(shared_prefix_knowledge, the_standby_is_queried_too_after_the_owner_restarted_empty) {
     router_group group(router_count);
-    const auto part = parts_in(group);
-    report(group, part.third, 3);
-    group.run(settled);
-    group.start(part.owner);
-    cr_assert_eq(depth_seen(group, part.fourth), 3);
-    cr_assert_eq(depth_seen(group, part.owner), 3);
-    // Repeated dispatches teach it what it lacks.
-    cr_assert_eq(depth_seen(group, part.third), 3);
-    report(group, part.third, 3);
-    group.run(settled);
-    cr_assert_eq(group.knowledge[static_cast<std::size_t>(part.owner)]
-                     ->answer(router_group::name_of(part.fourth), scope, chain_of(10))
+    const auto roles = roles_in(group);
+    report(group, roles.third, 3);
+    group.run(propagation_time);
+    group.start(roles.owner);
+    cr_assert_eq(longest_match(group, roles.fourth), 3);
+    cr_assert_eq(longest_match(group, roles.owner), 3);
+    // Further dispatches report the missing entries to the restarted owner.
+    cr_assert_eq(longest_match(group, roles.third), 3);
+    report(group, roles.third, 3);
+    group.run(propagation_time);
+    cr_assert_eq(group.knowledge[static_cast<std::size_t>(roles.owner)]
+                     ->answer(router_group::name_of(roles.fourth), scope, chain_of(10))
                      .holders.size(),
                  1);
 }
 
-Test(shared_prefix_knowledge, with_no_answer_the_local_index_is_left_within_the_limit) {
+Test(shared_prefix_knowledge, the_local_index_is_used_within_the_timeout_without_an_answer) {
     router_group group(router_count);
-    const auto part = parts_in(group);
-    report(group, part.third, 3);
-    group.run(settled);
-    group.network.silent.insert(router_group::name_of(part.owner));
-    group.network.silent.insert(router_group::name_of(part.standby));
-    const auto answer = group.lookup(part.third, scope, chain_of(10));
+    const auto roles = roles_in(group);
+    report(group, roles.third, 3);
+    group.run(propagation_time);
+    group.network.silent.insert(router_group::name_of(roles.owner));
+    group.network.silent.insert(router_group::name_of(roles.standby));
+    const auto answer = group.lookup(roles.third, scope, chain_of(10));
     cr_assert(answer.source == answer_source::local);
     cr_assert_eq(answer.holders.front().pieces, 3);
-    cr_assert(group.last_lookup_took <= 2 * shared_index_settings{}.lookup_limit);
-    cr_assert(group.lookup(part.fourth, scope, chain_of(10)).holders.empty());
+    cr_assert(group.last_lookup_duration <= 2 * shared_index_settings{}.lookup_limit);
+    cr_assert(group.lookup(roles.fourth, scope, chain_of(10)).holders.empty());
 }
 
-Test(shared_prefix_knowledge, a_lost_report_is_told_with_the_next_dispatch) {
+Test(shared_prefix_knowledge, a_lost_report_is_repeated_with_the_next_dispatch) {
     router_group group(router_count);
-    const auto part = parts_in(group);
+    const auto roles = roles_in(group);
     group.network.reports_to_lose = 2;
-    report(group, part.third, 3);
+    report(group, roles.third, 3);
     group.run(2s);
-    cr_assert_eq(depth_seen(group, part.fourth), 0);
-    report(group, part.third, 3);
-    group.run(settled);
-    cr_assert_eq(depth_seen(group, part.fourth), 3);
+    cr_assert_eq(longest_match(group, roles.fourth), 0);
+    report(group, roles.third, 3);
+    group.run(propagation_time);
+    cr_assert_eq(longest_match(group, roles.fourth), 3);
 }
 
-Test(shared_prefix_knowledge, a_late_report_of_a_dead_incarnation_counts_for_nothing) {
+Test(shared_prefix_knowledge, a_late_report_of_a_dead_incarnation_is_ignored) {
     router_group group(router_count);
-    const auto part = parts_in(group);
-    const core::prefix::engine_process reborn{engine_a.engine, base::incarnation(2)};
-    report(group, part.third, 2, reborn);
-    group.run(settled);
-    report(group, part.fourth, 8, engine_a);
-    group.run(settled);
-    const auto answer = group.lookup(part.third, scope, chain_of(10));
+    const auto roles = roles_in(group);
+    const core::prefix::engine_process restarted{engine_a.engine, base::incarnation(2)};
+    report(group, roles.third, 2, restarted);
+    group.run(propagation_time);
+    report(group, roles.fourth, 8, engine_a);
+    group.run(propagation_time);
+    const auto answer = group.lookup(roles.third, scope, chain_of(10));
     cr_assert_eq(answer.holders.size(), 1);
-    cr_assert(answer.holders.front().process == reborn);
+    cr_assert(answer.holders.front().process == restarted);
     cr_assert_eq(answer.holders.front().pieces, 2);
 }
 
 Test(shared_prefix_knowledge, evictions_read_by_one_router_are_known_to_all) {
     router_group group(router_count);
-    const auto part = parts_in(group);
-    report(group, part.third, 3);
+    const auto roles = roles_in(group);
+    report(group, roles.third, 3);
     group.run(1s);
-    group.knowledge[static_cast<std::size_t>(part.fourth)]->report_events(engine_a.engine,
-                                                                          eviction_of(1));
-    group.run(settled);
+    group.knowledge[static_cast<std::size_t>(roles.fourth)]->report_events(engine_a.engine,
+                                                                           eviction_of(1));
+    group.run(propagation_time);
     for (int router = 0; router < router_count; ++router) {
-        cr_assert_eq(depth_seen(group, router), 1);
+        cr_assert_eq(longest_match(group, router), 1);
     }
-    // And the next dispatch there is news again, though it was told lately.
-    report(group, part.third, 3);
-    group.run(settled);
-    cr_assert_eq(depth_seen(group, part.fourth), 3);
+    // The next dispatch must be reported again, although it was reported shortly before.
+    report(group, roles.third, 3);
+    group.run(propagation_time);
+    cr_assert_eq(longest_match(group, roles.fourth), 3);
 }
 
-Test(shared_prefix_knowledge, a_gap_voids_at_the_owner_what_no_answer_confirmed) {
+Test(shared_prefix_knowledge, a_gap_invalidates_unconfirmed_entries_at_the_owner) {
     router_group group(router_count);
-    const auto part = parts_in(group);
-    report(group, part.third, 2, engine_a, evidence::answer);
-    report(group, part.third, 5, engine_a, evidence::dispatch);
-    auto& reader = *group.knowledge[static_cast<std::size_t>(part.fourth)];
+    const auto roles = roles_in(group);
+    report(group, roles.third, 2, engine_a, evidence::answer);
+    report(group, roles.third, 5, engine_a, evidence::dispatch);
+    auto& reader = *group.knowledge[static_cast<std::size_t>(roles.fourth)];
     reader.report_events(engine_a.engine, eviction_of(9));
     group.run(1s);
-    cr_assert_eq(depth_seen(group, part.fourth), 5);
+    cr_assert_eq(longest_match(group, roles.fourth), 5);
     reader.report_events(engine_a.engine, {.incarnation = engine_a.incarnation, .gap = true});
-    group.run(settled);
-    cr_assert_eq(depth_seen(group, part.fourth), 2);
+    group.run(propagation_time);
+    cr_assert_eq(longest_match(group, roles.fourth), 2);
 }
 
-Test(shared_prefix_knowledge, routers_hear_of_work_that_others_sent) {
+Test(shared_prefix_knowledge, lookups_return_dispatches_of_other_routers) {
     router_group group(router_count);
-    const auto part = parts_in(group);
-    group.knowledge[static_cast<std::size_t>(part.third)]->report(
+    const auto roles = roles_in(group);
+    group.knowledge[static_cast<std::size_t>(roles.third)]->report(
         {scope, chain_of(3), engine_a, evidence::dispatch, 3000});
-    group.run(settled);
-    const auto told = group.lookup(part.fourth, scope, chain_of(10)).dispatches;
-    cr_assert_eq(told.size(), 1);
-    cr_assert(told.front().process == engine_a);
-    cr_assert_eq(told.front().prefill_tokens, 3000);
-    cr_assert(group.lookup(part.third, scope, chain_of(10)).dispatches.empty(), "its own");
+    group.run(propagation_time);
+    const auto received = group.lookup(roles.fourth, scope, chain_of(10)).dispatches;
+    cr_assert_eq(received.size(), 1);
+    cr_assert(received.front().process == engine_a);
+    cr_assert_eq(received.front().prefill_tokens, 3000);
+    cr_assert(group.lookup(roles.third, scope, chain_of(10)).dispatches.empty(),
+              "own dispatches are left out");
     group.run(2s);
-    cr_assert(group.lookup(part.fourth, scope, chain_of(10)).dispatches.empty(), "reported now");
+    cr_assert(group.lookup(roles.fourth, scope, chain_of(10)).dispatches.empty(),
+              "covered by load reports by now");
 }
 
-Test(shared_prefix_knowledge, answers_that_cannot_be_true_are_dropped) {
+Test(shared_prefix_knowledge, implausible_holders_are_dropped) {
     router_group group(router_count);
-    const auto part = parts_in(group);
+    const auto roles = roles_in(group);
     const core::prefix::engine_process other{base::engine_name("b"), base::incarnation(1)};
     group.network.forged = {{engine_a, 0, {}}, {engine_a, 11, {}}, {other, 10, {}}};
-    const auto answer = group.lookup(part.fourth, scope, chain_of(10));
+    const auto answer = group.lookup(roles.fourth, scope, chain_of(10));
     cr_assert_eq(answer.holders.size(), 1);
     cr_assert(answer.holders.front().process == other);
 }
@@ -231,38 +233,38 @@
     shared_index_settings settings;
     settings.lookups_of_root_per_second = 40;
     router_group group(router_count, settings);
-    const auto part = parts_in(group);
-    report(group, part.third, 3);
-    group.run(settled);
-    auto& asking = *group.knowledge[static_cast<std::size_t>(part.fourth)];
+    const auto roles = roles_in(group);
+    report(group, roles.third, 3);
+    group.run(propagation_time);
+    auto& requester = *group.knowledge[static_cast<std::size_t>(roles.fourth)];
     for (int request = 0; request < 1000; ++request) {
-        cr_assert_eq(depth_seen(group, part.fourth), 3);
+        cr_assert_eq(longest_match(group, roles.fourth), 3);
         group.run(8ms);
     }
-    const auto before = asking.counters().lookups_sent;
+    const auto before = requester.counters().lookups_sent;
     for (int request = 0; request < 1000; ++request) {
-        cr_assert_eq(depth_seen(group, part.fourth), 3);
+        cr_assert_eq(longest_match(group, roles.fourth), 3);
         group.run(8ms);
     }
-    // 8 s at a fourth of 40 lookups a second, and a little.
-    cr_assert_leq(asking.counters().lookups_sent - before, 100);
+    // 8 s at a quarter of 40 lookups per second gives 80, plus some tolerance.
+    cr_assert_leq(requester.counters().lookups_sent - before, 100);
 }
 
 Test(shared_prefix_knowledge, repeated_dispatches_cost_few_reports) {
     router_group group(router_count);
-    const auto part = parts_in(group);
-    auto& reporting = *group.knowledge[static_cast<std::size_t>(part.third)];
+    const auto roles = roles_in(group);
+    auto& reporter = *group.knowledge[static_cast<std::size_t>(roles.third)];
     for (int request = 0; request < 100; ++request) {
-        report(group, part.third, 10, engine_a, evidence::dispatch);
-        report(group, part.third, 10, engine_a, evidence::answer);
+        report(group, roles.third, 10, engine_a, evidence::dispatch);
+        report(group, roles.third, 10, engine_a, evidence::answer);
         group.run(100ms);
     }
-    // Ten seconds: told first, then confirmed once in five seconds, to owner and standby.
-    cr_assert_leq(reporting.counters().batches_sent, 2 * 3);
-    cr_assert_leq(reporting.counters().pieces_sent, 2 * 3 * 10);
+    // In 10 s each of owner and standby gets the first report and one confirmation every 5 s.
+    cr_assert_leq(reporter.counters().batches_sent, 2 * 3);
+    cr_assert_leq(reporter.counters().pieces_sent, 2 * 3 * 10);
 }
 
-Test(shared_prefix_knowledge, a_single_router_needs_nobody) {
+Test(shared_prefix_knowledge, a_single_router_sends_nothing) {
     router_group group(1);
     report(group, 0, 3);
     const auto answer = group.lookup(0, scope, chain_of(10));
