--- a/src/ferryroad/router/request/admission.hpp
+++ b/src/ferryroad/router/request/admission.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Admission: whether and when a request may start, by tenant limits and shares.
+/// Admission control: whether and when a request may start, by tenant limits and weights.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -13,7 +13,7 @@
 
 namespace ferryroad::router {
 
-/// What admission weighs of a request.
+/// The properties of a request that admission depends on.
 struct admission_query {
     base::request_id request;
     base::tenant_name tenant;
@@ -24,23 +24,24 @@
     catalog::request_priority priority = catalog::request_priority::normal;
     std::uint64_t prompt_tokens = 0;  ///< 0 for application calls.
     std::uint32_t max_tokens = 0;     ///< 0 for application calls.
+    /// The request is refused if it can't start by then.
     base::monotonic_time deadline{};
 };
 
-/// Held while the request is at work; destroying it frees its place.
+/// Held while the request runs; destroying it frees the request's place.
 class admission_ticket {
   public:
     virtual ~admission_ticket() = default;
 };
 using admission_grant = std::unique_ptr<admission_ticket>;
 
-/// Used from the event loop's thread; outlives its grants.
+/// Admits requests. Used from the event loop's thread only. Must outlive its grants.
 class admission_control {
   public:
     virtual ~admission_control() = default;
-    /// May wait for a turn, at most until the query's deadline. Cancelling the coroutine
-    /// gives the turn up.
-    /// @return a grant, or the refusal for the caller (`over_limit`, `overloaded`).
+    /// Admits a request, possibly after waiting in a queue, at most until the query's deadline.
+    /// Cancelling the coroutine removes the request from the queue.
+    /// @return a grant, or the refusal for the caller (`over_limit` or `overloaded`).
     virtual runtime::task<runtime::result<admission_grant, refusal>> admit(
         admission_query query) = 0;
 };
--- a/src/ferryroad/router/request/background_work.hpp
+++ b/src/ferryroad/router/request/background_work.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Counts coroutines that outlive the request that started them, for a planned stop.
+/// Counts coroutines that outlive the request that started them, so that a graceful shutdown
+/// can wait for them.
 #pragma once
 
 #include <cstddef>
@@ -8,10 +9,11 @@
 
 namespace ferryroad::router {
 
-/// Handle on the count; copies count together. Used from the event loop's thread.
+/// Handle to a shared counter; copies share the counter. Used from the event loop's thread only.
 class background_work {
   public:
-    /// Counts one from its construction to its destruction. Goes into the coroutine by value.
+    /// Represents one running coroutine: increments the counter on construction and decrements it
+    /// on destruction. Pass it to the coroutine by value.
     class token {
       public:
         explicit token(std::shared_ptr<std::size_t> count) : count_(std::move(count)) { ++*count_; }
@@ -29,7 +31,9 @@
         std::shared_ptr<std::size_t> count_;
     };
 
+    /// @return a token for a coroutine that is about to start.
     token begin() const { return token(count_); }
+    /// @return the number of tokens that exist.
     std::size_t count() const { return *count_; }
 
   private:
--- a/src/ferryroad/router/request/call_resolution.cpp
+++ b/src/ferryroad/router/request/call_resolution.cpp
@@ -18,25 +18,27 @@
         refusal{code, std::move(message), core::execution::execution_report::not_run, {}});
 }
 
-bool takes_method(const catalog::route& route, std::string_view method) {
+bool accepts_method(const catalog::route& route, std::string_view method) {
     return route.methods.empty() ||
            std::find(route.methods.begin(), route.methods.end(), method) != route.methods.end();
 }
 
-/// Keeps the route with the longest prefix; of equals, the first by name.
-void keep_longer(resolved_call& resolved, const catalog::route& route, const catalog::pool& pool) {
+/// Replaces the resolved route if `route` has a longer prefix. With equal prefixes the first
+/// route by name stays.
+void prefer_longer_prefix(resolved_call& resolved, const catalog::route& route,
+                          const catalog::pool& pool) {
     if (!resolved.route || route.path_prefix.size() > resolved.route->path_prefix.size()) {
         resolved.route = &route;
         resolved.pool = &pool;
     }
 }
 
-/// Calls `accept` with each route that covers the path and method, and its pool.
+/// Calls `accept` with each route that covers the path and method and with the route's pool.
 template <typename Accept>
 void for_each_route(const catalog::catalog& configuration, std::string_view path,
                     std::string_view method, Accept accept) {
     for (const auto& [name, route] : configuration.routes) {
-        if (!covers_path(route.path_prefix, path) || !takes_method(route, method)) {
+        if (!covers_path(route.path_prefix, path) || !accepts_method(route, method)) {
             continue;
         }
         const auto pool = configuration.pools.find(route.pool);
@@ -116,7 +118,7 @@
     for_each_route(*resolved.configuration, call.path, "POST",
                    [&](const catalog::route& route, const catalog::pool& pool) {
                        if (pool.kind == catalog::pool_kind::model && pool.model == call.model) {
-                           keep_longer(resolved, route, pool);
+                           prefer_longer_prefix(resolved, route, pool);
                        }
                    });
     if (!resolved.route) {
@@ -132,7 +134,7 @@
     for_each_route(*resolved.configuration, call.path, call.method,
                    [&](const catalog::route& route, const catalog::pool& pool) {
                        if (pool.kind == catalog::pool_kind::application) {
-                           keep_longer(resolved, route, pool);
+                           prefer_longer_prefix(resolved, route, pool);
                        }
                    });
     if (!resolved.route) {
--- a/src/ferryroad/router/request/call_resolution.hpp
+++ b/src/ferryroad/router/request/call_resolution.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Finds a call's tenant, route and model in the configuration in force.
+/// Resolves a call's tenant, route and model in a configuration revision.
 #pragma once
 
 #include "ferryroad/catalog/types.hpp"
@@ -15,7 +15,8 @@
 
 namespace ferryroad::router {
 
-/// What a call is, under one configuration. The pointers live as long as `configuration`.
+/// A call resolved in one configuration revision. The pointers are valid as long as
+/// `configuration` is held.
 struct resolved_call {
     std::shared_ptr<const catalog::catalog> configuration;
     const catalog::tenant* tenant = nullptr;
@@ -26,13 +27,15 @@
     std::uint32_t max_tokens = 0;
 };
 
-/// Resolves calls. Errors are LEAF error objects of type `refusal`.
+/// Resolves calls. Errors are reported as LEAF error objects of type `refusal`.
 class call_resolver {
   public:
-    /// A route of a model pool that serves the model at the call's path.
+    /// Resolves a generation call to the route of a model pool that serves its model at its path.
+    /// If several match, the longest path prefix wins.
     boost::leaf::result<resolved_call> resolve(
         std::shared_ptr<const catalog::catalog> configuration, const generation_call& call);
-    /// A route of an application pool at the call's path and method.
+    /// Resolves an application call to the route of an application pool that covers its path and
+    /// method. If several match, the longest path prefix wins.
     boost::leaf::result<resolved_call> resolve(
         std::shared_ptr<const catalog::catalog> configuration, const application_call& call);
 
@@ -40,12 +43,13 @@
     boost::leaf::result<resolved_call> authenticate(
         std::shared_ptr<const catalog::catalog> configuration, std::string_view bearer_key);
 
-    /// Tenants of `indexed_` by the digest of their key.
+    /// Tenants of `indexed_` by the SHA-256 digest of their key.
     std::unordered_map<std::string, const catalog::tenant*> tenants_by_key_;
     std::shared_ptr<const catalog::catalog> indexed_;
 };
 
-/// @return whether a route's prefix covers `path`: whole segments only, query ignored.
+/// @return whether a route's prefix covers `path`. Only whole path segments match; the query
+/// string is ignored.
 bool covers_path(std::string_view prefix, std::string_view path);
 
 }  // namespace ferryroad::router
--- a/src/ferryroad/router/request/engine_failures.cpp
+++ b/src/ferryroad/router/request/engine_failures.cpp
@@ -80,8 +80,8 @@
     return {refusal_code::engine_failed, "The request was abandoned."};
 }
 
-/// Whether the same request can fare better later.
-bool may_pass(execution::refusal_reason reason) {
+/// @return whether the same request may succeed later.
+bool is_retryable(execution::refusal_reason reason) {
     return reason != execution::refusal_reason::rejected &&
            reason != execution::refusal_reason::claim_other_content;
 }
@@ -104,11 +104,11 @@
     return event;
 }
 
-refusal to_refusal(const execution::refuse& given_up) {
-    const caller_answer answer = answer_of(given_up.reason);
-    refusal refused{answer.code, answer.message, given_up.report, std::nullopt};
-    if (may_pass(given_up.reason)) {
-        refused.retry_after = given_up.retry_after;
+refusal to_refusal(const execution::refuse& refuse_action) {
+    const caller_answer answer = answer_of(refuse_action.reason);
+    refusal refused{answer.code, answer.message, refuse_action.report, std::nullopt};
+    if (is_retryable(refuse_action.reason)) {
+        refused.retry_after = refuse_action.retry_after;
     }
     return refused;
 }
--- a/src/ferryroad/router/request/fair_admission.cpp
+++ b/src/ferryroad/router/request/fair_admission.cpp
@@ -28,7 +28,7 @@
         answer.retry_after);
 }
 
-refusal no_turn(const admission::queue_answer& answer) {
+refusal queue_refusal(const admission::queue_answer& answer) {
     const bool full = answer.verdict == admission::queue_verdict::refused_full;
     return not_run(refusal_code::overloaded,
                    full ? "Too many requests wait for this pool."
@@ -58,7 +58,7 @@
           tenant_quota& quota_in, admission_limits limits_in)
         : scheduler(scheduler_in), directory(directory_in), quota(quota_in), limits(limits_in) {}
 
-    /// One pool's queue and those who wait in it.
+    /// The queue of one pool, with the signals that start its waiting requests.
     struct pool_queue {
         explicit pool_queue(std::size_t places) : queue(places) {}
         admission::fair_queue queue;
@@ -78,7 +78,7 @@
 
 namespace {
 
-/// Gives back a tenant's place.
+/// Frees the tenant's place on destruction.
 template <typename State>
 class tenant_place {
   public:
@@ -93,7 +93,8 @@
     base::tenant_name tenant_;
 };
 
-/// A place in a pool's queue: waiting at first, running once started.
+/// A request's place in a pool, waiting or running. On destruction it is freed and the next
+/// waiting request starts.
 template <typename State>
 class pool_place {
   public:
@@ -116,7 +117,7 @@
     base::request_id request_;
 };
 
-/// Members are given back in reverse order: the pool's place, then the tenant's.
+/// Holds a request's places. Destruction frees the pool's place before the tenant's.
 template <typename State>
 class fair_ticket final : public admission_ticket {
   public:
@@ -133,7 +134,7 @@
 
 fair_admission::state::pool_queue& fair_admission::state::queue_of(const base::pool_name& pool) {
     const std::size_t engines = directory.available(pool).size();
-    const std::size_t places = std::max<std::size_t>(engines, 1) * limits.places_per_engine;
+    const std::size_t places = std::max<std::size_t>(engines, 1) * limits.max_requests_per_engine;
     const auto [found, added] = pools.try_emplace(pool, places);
     found->second.queue.change_places(places);
     return found->second;
@@ -159,21 +160,21 @@
     const auto owner = state_;
     const auto now = owner->scheduler.now();
     const auto share = owner->quota.share_of(query.tenant, query.limits);
-    const auto limited = owner->limiter.admit(query.tenant, share, now);
-    if (limited.verdict != admission::limit_verdict::admitted) {
-        co_return over_limit(limited);
+    const auto local_result = owner->limiter.admit(query.tenant, share, now);
+    if (local_result.verdict != admission::limit_verdict::admitted) {
+        co_return over_limit(local_result);
     }
     auto tenant = std::make_unique<tenant_place<state>>(owner, query.tenant);
     base::tenant_name counted = query.tenant;
-    const auto over_all = co_await owner->quota.count(std::move(counted), query.limits);
-    if (over_all.verdict != admission::limit_verdict::admitted) {
-        co_return over_limit(over_all);
+    const auto fleet_result = co_await owner->quota.count(std::move(counted), query.limits);
+    if (fleet_result.verdict != admission::limit_verdict::admitted) {
+        co_return over_limit(fleet_result);
     }
     auto& pool = owner->queue_of(query.pool);
-    const auto turn = pool.queue.arrive(waiting_of(query), owner->scheduler.now());
-    const bool started = turn.verdict == admission::queue_verdict::started;
-    if (!started && turn.verdict != admission::queue_verdict::queued) {
-        co_return no_turn(turn);
+    const auto queue_result = pool.queue.arrive(waiting_of(query), owner->scheduler.now());
+    const bool started = queue_result.verdict == admission::queue_verdict::started;
+    if (!started && queue_result.verdict != admission::queue_verdict::queued) {
+        co_return queue_refusal(queue_result);
     }
     auto place = std::make_unique<pool_place<state>>(owner, query.pool, query.request);
     if (!started) {
--- a/src/ferryroad/router/request/fair_admission.hpp
+++ b/src/ferryroad/router/request/fair_admission.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Admission by tenant limits, then by one fair queue for each pool.
+/// Admission control by tenant limits first and then by a fair queue for each pool.
 #pragma once
 
 #include "ferryroad/core/admission/fair_queue.hpp"
@@ -14,7 +14,7 @@
 
 namespace ferryroad::router {
 
-/// Collaborators outlive it and its grants' requests.
+/// Implements admission control. The collaborators must outlive it and all its grants.
 class fair_admission final : public admission_control {
   public:
     fair_admission(runtime::scheduler& scheduler, const engine_directory& directory,
@@ -25,7 +25,7 @@
 
     runtime::task<runtime::result<admission_grant, refusal>> admit(admission_query query) override;
 
-    /// @return requests that wait for a place in that pool.
+    /// @return the number of requests queued for the pool.
     std::size_t waiting(const base::pool_name& pool) const;
 
   private:
--- a/src/ferryroad/router/request/recorded_generation.hpp
+++ b/src/ferryroad/router/request/recorded_generation.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A generated answer as it is recorded for callers that repeat its key.
+/// Encoding of a generated answer as the recorded outcome for callers that repeat its key.
 #pragma once
 
 #include "ferryroad/router/claim_registry.hpp"
@@ -12,16 +12,20 @@
 
 namespace ferryroad::router {
 
+/// A generated answer read from a recorded outcome.
 struct recorded_generation {
     generation_summary summary;
     std::vector<std::string> tokens;
 };
 
-/// @param body_limit in bytes; a longer answer is recorded as complete without its tokens.
+/// Encodes an answer as a recorded outcome.
+/// @param body_limit maximum size in bytes; a longer answer is recorded as complete without its
+/// tokens.
 recorded_outcome record_generation(const generation_summary& summary,
                                    const std::vector<std::string>& tokens, std::size_t body_limit);
 
-/// @return nothing where the record holds no readable answer.
+/// Decodes a recorded outcome.
+/// @return the answer; nothing if the outcome has no valid answer.
 std::optional<recorded_generation> read_recorded_generation(const recorded_outcome& outcome);
 
 }  // namespace ferryroad::router
--- a/src/ferryroad/router/request/request_metrics.hpp
+++ b/src/ferryroad/router/request/request_metrics.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Metrics of the execution of requests.
+/// Metrics of request execution.
 #pragma once
 
 #include "ferryroad/router/request/request_observer.hpp"
@@ -7,9 +7,10 @@
 
 namespace ferryroad::router {
 
+/// Counts ended requests, attempts, retries, resumes, dropped answers and replays.
 class request_metrics final : public request_observer {
   public:
-    /// @param registry outlives this.
+    /// @param registry must outlive this object.
     explicit request_metrics(runtime::metrics& registry);
     void request_ended(const ended_request& ended) override;
 
--- a/src/ferryroad/router/request/request_observer.hpp
+++ b/src/ferryroad/router/request/request_observer.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What a request came to, for logs and metrics.
+/// Interface to observe the ends of requests, for logs and metrics.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -11,20 +11,20 @@
 
 namespace ferryroad::router {
 
-/// Figures of one request that came as far as its execution.
+/// Statistics of one request that was resolved and passed to execution.
 struct ended_request {
     base::request_id request;
     base::tenant_name tenant;
     base::route_name route;
     core::execution::execution_report execution{};
-    std::uint32_t attempts = 0;         ///< Dispatches, the first included.
-    std::uint32_t resumes = 0;          ///< Broken streams taken up again at their engine.
-    std::uint32_t dropped_answers = 0;  ///< Of ended or foreign exchanges.
+    std::uint32_t attempts = 0;         ///< Dispatches to engines, including the first.
+    std::uint32_t resumes = 0;          ///< Broken streams resumed at the same engine.
+    std::uint32_t dropped_answers = 0;  ///< Answers of ended or unknown exchanges.
     bool replayed = false;              ///< Answered from the record of an earlier request.
-    base::duration taken{};
+    base::duration taken{};             ///< Time from the request's arrival to its end.
 };
 
-/// Called on the event loop's thread as each request ends.
+/// Notified on the event loop's thread when a request ends.
 class request_observer {
   public:
     virtual ~request_observer() = default;
--- a/src/ferryroad/router/request/routing_request_service.cpp
+++ b/src/ferryroad/router/request/routing_request_service.cpp
@@ -33,7 +33,8 @@
             execution::execution_report::unknown, std::nullopt};
 }
 
-/// Names the content that a key belongs to; parts are framed by their lengths.
+/// Digest of the content that an idempotency key belongs to. Each part is prefixed with its
+/// length, so that different splits of the same bytes have different digests.
 class content_digest {
   public:
     content_digest& add(std::string_view part) {
@@ -60,7 +61,7 @@
     return digest.add(call.method).add(call.path).add(call.content_type).add(call.body).hex();
 }
 
-/// A claim guards requests that may not be repeated, where the caller named them by a key.
+/// @return a claim if the request must not be repeated and has an idempotency key.
 template <typename Call>
 std::optional<claim_request> claim_of(const Call& call, const resolved_call& resolved) {
     if (resolved.route->repeatable || !call.key) {
@@ -85,7 +86,7 @@
     return query;
 }
 
-/// Gives a recorded answer to whoever repeats the key.
+/// Sends a recorded answer to a caller that repeats the key.
 runtime::task<runtime::result<generation_summary, refusal>> replay(recorded_outcome outcome,
                                                                    token_sink& sink) {
     if (outcome.execution != execution::execution_report::complete) {
@@ -120,40 +121,43 @@
 
 routing_request_service::routing_request_service(const configuration_view& configuration,
                                                  admission_control& admission,
-                                                 const request_collaborators& with,
+                                                 const request_collaborators& collaborators,
                                                  request_tunables limits)
-    : configuration_(configuration), admission_(admission), with_(with), limits_(limits) {}
+    : configuration_(configuration),
+      admission_(admission),
+      collaborators_(collaborators),
+      limits_(limits) {}
 
 runtime::task<runtime::result<generation_summary, refusal>> routing_request_service::generate(
     generation_call call, token_sink& sink) {
-    const auto arrived = with_.scheduler.now();
+    const auto arrived = collaborators_.scheduler.now();
     auto resolved = resolve(call);
     if (resolved.has_error()) {
         co_return resolved.error();
     }
-    driver_start start = start_of(call.request, *resolved, arrived);
-    const selection_query scope = query_of(call, start.resolved);
-    start.query.scope = scope.scope;
-    start.query.pieces = scope.pieces;
-    start.query.prompt_tokens = scope.prompt_tokens;
-    start.query.piece_tokens = scope.piece_tokens;
-    start.claim = claim_of(call, start.resolved);
-    start.rules.claimed = start.claim.has_value();
-    start.rules.streamed = true;
-    admission_query admitted = admission_query_of(start);
+    request_context context = make_context(call.request, *resolved, arrived);
+    const selection_query model_query = query_of(call, context.resolved);
+    context.query.scope = model_query.scope;
+    context.query.pieces = model_query.pieces;
+    context.query.prompt_tokens = model_query.prompt_tokens;
+    context.query.piece_tokens = model_query.piece_tokens;
+    context.claim = claim_of(call, context.resolved);
+    context.rules.claimed = context.claim.has_value();
+    context.rules.streamed = true;
+    admission_query admission_request = admission_query_of(context);
     std::shared_ptr<token_relay> relay;
-    if (start.claim) {
-        relay = std::make_shared<token_relay>(with_.scheduler.executor(),
-                                              std::size_t{start.resolved.max_tokens} + 1);
+    if (context.claim) {
+        relay = std::make_shared<token_relay>(collaborators_.scheduler.executor(),
+                                              std::size_t{context.resolved.max_tokens} + 1);
     }
-    token_sink& driven = relay ? static_cast<token_sink&>(*relay) : sink;
-    auto driver =
-        std::make_shared<generation_driver>(with_, std::move(start), call.prompt, call.key, driven);
+    token_sink& driver_sink = relay ? static_cast<token_sink&>(*relay) : sink;
+    auto driver = std::make_shared<generation_driver>(collaborators_, std::move(context),
+                                                      call.prompt, call.key, driver_sink);
     std::optional<refusal> refused;
     if (relay) {
-        refused = co_await serve_claimed(driver, std::move(admitted), relay, &sink);
+        refused = co_await serve_claimed(driver, std::move(admission_request), relay, &sink);
     } else {
-        refused = co_await serve(*driver, std::move(admitted));
+        refused = co_await serve(*driver, std::move(admission_request));
     }
     if (refused) {
         co_return *refused;
@@ -167,23 +171,24 @@
 
 runtime::task<runtime::result<application_reply, refusal>>
 routing_request_service::call_application(application_call call) {
-    const auto arrived = with_.scheduler.now();
+    const auto arrived = collaborators_.scheduler.now();
     auto resolved = resolve(call);
     if (resolved.has_error()) {
         co_return resolved.error();
     }
-    driver_start start = start_of(call.request, *resolved, arrived);
-    start.claim = claim_of(call, start.resolved);
-    start.rules.claimed = start.claim.has_value();
-    start.rules.streamed = false;
-    admission_query admitted = admission_query_of(start);
-    const bool claimed = start.claim.has_value();
-    auto driver = std::make_shared<application_driver>(with_, std::move(start), std::move(call));
+    request_context context = make_context(call.request, *resolved, arrived);
+    context.claim = claim_of(call, context.resolved);
+    context.rules.claimed = context.claim.has_value();
+    context.rules.streamed = false;
+    admission_query admission_request = admission_query_of(context);
+    const bool claimed = context.claim.has_value();
+    auto driver =
+        std::make_shared<application_driver>(collaborators_, std::move(context), std::move(call));
     std::optional<refusal> refused;
     if (claimed) {
-        refused = co_await serve_claimed(driver, std::move(admitted), nullptr, nullptr);
+        refused = co_await serve_claimed(driver, std::move(admission_request), nullptr, nullptr);
     } else {
-        refused = co_await serve(*driver, std::move(admitted));
+        refused = co_await serve(*driver, std::move(admission_request));
     }
     if (refused) {
         co_return *refused;
@@ -196,7 +201,7 @@
 
 runtime::task<void> routing_request_service::drain() {
     while (background_.count() > 0) {
-        co_await with_.scheduler.sleep_for(limits_.drain_poll);
+        co_await collaborators_.scheduler.sleep_for(limits_.drain_poll_interval);
     }
 }
 
@@ -204,7 +209,7 @@
 runtime::result<resolved_call, refusal> routing_request_service::resolve(const Call& call) {
     if (!configuration_.confirmed()) {
         return refusal{refusal_code::not_ready, "This router can't confirm its configuration.",
-                       execution::execution_report::not_run, limits_.not_ready_retry};
+                       execution::execution_report::not_run, limits_.not_ready_retry_after};
     }
     return leaf::try_handle_all(
         [&]() -> leaf::result<runtime::result<resolved_call, refusal>> {
@@ -219,22 +224,22 @@
         });
 }
 
-driver_start routing_request_service::start_of(const base::request_id& request,
-                                               resolved_call resolved,
-                                               base::monotonic_time arrived) {
-    driver_start start;
-    start.request = request;
-    start.arrived = arrived;
-    start.query.request = request;
-    start.query.pool = resolved.pool->name;
-    start.query.recompute_price = resolved.route->recompute_price;
-    start.rules.repeatable = resolved.route->repeatable;
-    start.rules.deadline = arrived + resolved.route->deadline;
-    start.budget = budget_of(resolved);
-    start.limits = limits_;
-    start.background = background_;
-    start.resolved = std::move(resolved);
-    return start;
+request_context routing_request_service::make_context(const base::request_id& request,
+                                                      resolved_call resolved,
+                                                      base::monotonic_time arrived) {
+    request_context context;
+    context.request = request;
+    context.arrived = arrived;
+    context.query.request = request;
+    context.query.pool = resolved.pool->name;
+    context.query.recompute_price = resolved.route->recompute_price;
+    context.rules.repeatable = resolved.route->repeatable;
+    context.rules.deadline = arrived + resolved.route->deadline;
+    context.budget = budget_of(resolved);
+    context.limits = limits_;
+    context.background = background_;
+    context.resolved = std::move(resolved);
+    return context;
 }
 
 std::shared_ptr<core::admission::retry_budget> routing_request_service::budget_of(
@@ -247,10 +252,10 @@
     return budget;
 }
 
-admission_query routing_request_service::admission_query_of(const driver_start& start) const {
-    const resolved_call& resolved = start.resolved;
+admission_query routing_request_service::admission_query_of(const request_context& context) const {
+    const resolved_call& resolved = context.resolved;
     admission_query query;
-    query.request = start.request;
+    query.request = context.request;
     query.tenant = resolved.tenant->name;
     query.limits = resolved.tenant->limits;
     query.weight = resolved.tenant->weight;
@@ -259,7 +264,7 @@
     query.priority = resolved.route->priority;
     query.prompt_tokens = resolved.prompt_tokens;
     query.max_tokens = resolved.max_tokens;
-    query.deadline = start.rules.deadline;
+    query.deadline = context.rules.deadline;
     return query;
 }
 
@@ -268,13 +273,14 @@
     using boost::asio::experimental::awaitable_operators::operator||;
     const auto deadline = query.deadline;
     auto served = co_await (admit_and_drive(driver, std::move(query)) ||
-                            with_.scheduler.sleep_until(deadline));
+                            collaborators_.scheduler.sleep_until(deadline));
     if (served.index() == 0 && std::get<0>(served)) {
         co_return std::get<0>(served);
     }
     driver.interrupt();
     record_end(driver);
-    // The drive keeps the cancellation's exception in; the caller's coroutine still ends by it.
+    // `drive` doesn't propagate the exception of a cancellation, so it is thrown again here to end
+    // the caller's coroutine.
     const auto cancellation = co_await boost::asio::this_coro::cancellation_state;
     if (cancellation.cancelled() != boost::asio::cancellation_type::none) {
         throw boost::system::system_error(boost::asio::error::operation_aborted);
@@ -283,10 +289,10 @@
 }
 
 void routing_request_service::record_end(const execution_driver& driver) {
-    const ended_request ended = driver.figures();
+    const ended_request ended = driver.statistics();
     runtime::log(runtime::log_level::info, "router.request", "execution ended",
                  {{"request_id", ended.request.value},
-                  {"router", with_.self.value},
+                  {"router", collaborators_.self.value},
                   {"tenant", ended.tenant.value},
                   {"route", ended.route.value},
                   {"execution", std::string(to_string(ended.execution))},
@@ -300,26 +306,27 @@
 runtime::task<std::optional<refusal>> routing_request_service::serve_claimed(
     std::shared_ptr<execution_driver> driver, admission_query query,
     std::shared_ptr<token_relay> relay, token_sink* sink) {
-    auto ended = std::make_shared<ending>(with_.scheduler.executor(), std::size_t{1});
-    with_.scheduler.spawn("router.request", run_to_end(std::move(driver), std::move(query), relay,
-                                                       ended, background_.begin()));
+    auto completion =
+        std::make_shared<completion_channel>(collaborators_.scheduler.executor(), std::size_t{1});
+    collaborators_.scheduler.spawn(
+        "router.request",
+        run_to_end(std::move(driver), std::move(query), relay, completion, background_.begin()));
     if (relay) {
-        co_await relay->pass_on(*sink);
+        co_await relay->forward_to(*sink);
     }
-    auto refused = co_await ended->async_receive(boost::asio::use_awaitable);
+    auto refused = co_await completion->async_receive(boost::asio::use_awaitable);
     co_return refused;
 }
 
-runtime::task<void> routing_request_service::run_to_end(std::shared_ptr<execution_driver> driver,
-                                                        admission_query query,
-                                                        std::shared_ptr<token_relay> relay,
-                                                        std::shared_ptr<ending> ended,
-                                                        background_work::token /*counted*/) {
+runtime::task<void> routing_request_service::run_to_end(
+    std::shared_ptr<execution_driver> driver, admission_query query,
+    std::shared_ptr<token_relay> relay, std::shared_ptr<completion_channel> completion,
+    background_work::token /*counted*/) {
     auto refused = co_await serve(*driver, std::move(query));
     if (relay) {
         relay->close();
     }
-    ended->try_send(boost::system::error_code(), std::move(refused));
+    completion->try_send(boost::system::error_code(), std::move(refused));
 }
 
 runtime::task<std::optional<refusal>> routing_request_service::admit_and_drive(
--- a/src/ferryroad/router/request/routing_request_service.hpp
+++ b/src/ferryroad/router/request/routing_request_service.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Serves callers' requests: resolve, admit, claim, choose, dispatch, follow to the end.
+/// Serves callers' requests: resolves, admits and claims them, selects an engine, dispatches the
+/// attempt and follows it to the end.
 #pragma once
 
 #include "ferryroad/core/admission/retry_budget.hpp"
@@ -20,26 +21,30 @@
 
 namespace ferryroad::router {
 
-/// The router's `request_service`. Every collaborator outlives it.
+/// The router's `request_service`. All collaborators must outlive it. Used from the event loop's
+/// thread only.
 class routing_request_service final : public request_service {
   public:
     routing_request_service(const configuration_view& configuration, admission_control& admission,
-                            const request_collaborators& with, request_tunables limits = {});
+                            const request_collaborators& collaborators,
+                            request_tunables limits = {});
 
     runtime::task<runtime::result<generation_summary, refusal>> generate(generation_call call,
                                                                          token_sink& sink) override;
     runtime::task<runtime::result<application_reply, refusal>> call_application(
         application_call call) override;
 
-    /// Tells `observer` of each request's end from here on; it outlives the service.
+    /// Notifies `observer` of each request that ends from now on.
+    /// @param observer must outlive the service.
     void observe(request_observer& observer) { observer_ = &observer; }
 
-    /// Planned stop, once no caller is left: @return when claimed requests whose callers went
-    /// away have ended, and all outcomes are recorded and cancellations told.
+    /// Part of a graceful shutdown; call this when no caller is left.
+    /// @return when all claimed requests without a caller have ended, all outcomes are recorded
+    /// and all cancellations are sent.
     runtime::task<void> drain();
 
   private:
-    /// Whose requests share one retry budget.
+    /// Requests of the same route and tenant share a retry budget.
     struct budget_key {
         base::route_name route;
         base::tenant_name tenant;
@@ -50,33 +55,36 @@
 
     template <typename Call>
     runtime::result<resolved_call, refusal> resolve(const Call& call);
-    driver_start start_of(const base::request_id& request, resolved_call resolved,
-                          base::monotonic_time arrived);
+    request_context make_context(const base::request_id& request, resolved_call resolved,
+                                 base::monotonic_time arrived);
     std::shared_ptr<core::admission::retry_budget> budget_of(const resolved_call& resolved);
-    admission_query admission_query_of(const driver_start& start) const;
-    /// Admits and drives the request, within its deadline; a caller gone ends it.
+    admission_query admission_query_of(const request_context& context) const;
+    /// Admits and runs the request within its deadline. If the caller's coroutine is cancelled,
+    /// the request is interrupted.
     runtime::task<std::optional<refusal>> serve(execution_driver& driver, admission_query query);
-    /// The same for a request that holds a claim, or will: it runs to its end also without its
-    /// caller, so that the caller can ask again by the key.
-    /// @param relay and `sink`: null for application calls.
+    /// Serves a request that has or will have a claim. It runs to its end even if the caller
+    /// leaves, so that the caller can repeat the key and get the outcome.
+    /// @param relay null for application calls.
+    /// @param sink null for application calls.
     runtime::task<std::optional<refusal>> serve_claimed(std::shared_ptr<execution_driver> driver,
                                                         admission_query query,
                                                         std::shared_ptr<token_relay> relay,
                                                         token_sink* sink);
-    using ending =
+    using completion_channel =
         boost::asio::experimental::channel<void(boost::system::error_code, std::optional<refusal>)>;
     runtime::task<void> run_to_end(std::shared_ptr<execution_driver> driver, admission_query query,
                                    std::shared_ptr<token_relay> relay,
-                                   std::shared_ptr<ending> ended, background_work::token counted);
+                                   std::shared_ptr<completion_channel> completion,
+                                   background_work::token counted);
     runtime::task<std::optional<refusal>> admit_and_drive(execution_driver& driver,
                                                           admission_query query);
 
-    /// Logs the request's end and tells the observer.
+    /// Logs the request's end and notifies the observer.
     void record_end(const execution_driver& driver);
 
     const configuration_view& configuration_;
     admission_control& admission_;
-    request_collaborators with_;
+    request_collaborators collaborators_;
     request_tunables limits_;
     call_resolver resolver_;
     background_work background_;
--- a/src/ferryroad/router/request/tenant_quota.cpp
+++ b/src/ferryroad/router/request/tenant_quota.cpp
@@ -12,9 +12,9 @@
     if (limits.requests_per_second <= 0) {
         co_return core::admission::limit_answer{};
     }
-    const quotas::rate_limit limit{m_configuration.current()->revision, limits.requests_per_second,
+    const quotas::rate_limit limit{configuration_.current()->revision, limits.requests_per_second,
                                    limits.request_burst};
-    const auto decided = co_await m_quotas.count(std::move(tenant), limit, 1);
+    const auto decided = co_await quotas_.count(std::move(tenant), limit, 1);
     const bool granted = decided.verdict.granted;
     co_return core::admission::limit_answer{
         granted ? limit_verdict::admitted : limit_verdict::over_rate, decided.verdict.retry_after};
--- a/src/ferryroad/router/request/tenant_quota.hpp
+++ b/src/ferryroad/router/request/tenant_quota.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// A tenant's limits hold over all routers: what this router may admit by itself, and what it
-/// must have counted.
+/// Interface to tenant limits, which apply to all routers together: the share that this router may
+/// admit on its own, and the requests that have to be counted globally.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -12,20 +12,22 @@
 
 namespace ferryroad::router {
 
-/// Used from the event loop's thread.
+/// Quota of the tenants. Used from the event loop's thread only.
 class tenant_quota {
   public:
     virtual ~tenant_quota() = default;
-    /// @param limits over all routers. @return what this router may admit now by itself.
+    /// @param limits the tenant's limits over all routers.
+    /// @return what this router may currently admit on its own.
     virtual core::admission::tenant_share share_of(const base::tenant_name& tenant,
                                                    const catalog::tenant_limits& limits) = 0;
-    /// Counts a request over all routers.
+    /// Counts a request against the limits over all routers.
+    /// @return whether the request is admitted.
     virtual runtime::task<core::admission::limit_answer> count(base::tenant_name tenant,
                                                                catalog::tenant_limits limits) = 0;
 };
 
-/// The whole limit at this router: right where it is the only one.
-class whole_quota final : public tenant_quota {
+/// Applies the whole limit at this router. Correct only if it is the only router.
+class single_router_quota final : public tenant_quota {
   public:
     core::admission::tenant_share share_of(const base::tenant_name&,
                                            const catalog::tenant_limits& limits) override {
@@ -37,12 +39,14 @@
     }
 };
 
-/// The rate is counted once over all routers; requests at work are counted by each router.
+/// Counts the request rate over all routers through the quota service. The limit of concurrent
+/// requests applies to each router separately.
 class fleet_quota final : public tenant_quota {
   public:
-    /// Both outlive it.
+    /// @param quotas must outlive this object.
+    /// @param configuration must outlive this object.
     fleet_quota(quotas::quota_service& quotas, const configuration_view& configuration)
-        : m_quotas(quotas), m_configuration(configuration) {}
+        : quotas_(quotas), configuration_(configuration) {}
 
     core::admission::tenant_share share_of(const base::tenant_name&,
                                            const catalog::tenant_limits& limits) override {
@@ -52,8 +56,8 @@
                                                        catalog::tenant_limits limits) override;
 
   private:
-    quotas::quota_service& m_quotas;
-    const configuration_view& m_configuration;
+    quotas::quota_service& quotas_;
+    const configuration_view& configuration_;
 };
 
 }  // namespace ferryroad::router
--- a/src/ferryroad/router/request/token_relay.cpp
+++ b/src/ferryroad/router/request/token_relay.cpp
@@ -7,11 +7,11 @@
 
 namespace ferryroad::router {
 
-token_relay::token_relay(const boost::asio::any_io_executor& executor, std::size_t most)
-    : tokens_(executor, most) {}
+token_relay::token_relay(const boost::asio::any_io_executor& executor, std::size_t capacity)
+    : tokens_(executor, capacity) {}
 
 runtime::task<bool> token_relay::accept(engine::stream_token token) {
-    // The channel holds a whole answer: nothing is ever dropped.
+    // The channel has room for a complete answer, so no token is dropped.
     tokens_.try_send(boost::system::error_code(), std::move(token));
     co_return true;
 }
@@ -20,7 +20,7 @@
     tokens_.close();
 }
 
-runtime::task<void> token_relay::pass_on(token_sink& sink) {
+runtime::task<void> token_relay::forward_to(token_sink& sink) {
     for (;;) {
         boost::system::error_code closed;
         auto completion = boost::asio::redirect_error(boost::asio::use_awaitable, closed);
--- a/src/ferryroad/router/request/token_relay.hpp
+++ b/src/ferryroad/router/request/token_relay.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Tokens on their way from a request that runs to its end in any case to a caller who may
-/// leave before.
+/// Buffers tokens between a claimed request, which runs to its end, and a caller that may leave
+/// earlier.
 #pragma once
 
 #include "ferryroad/router/request_types.hpp"
@@ -12,18 +12,19 @@
 
 namespace ferryroad::router {
 
-/// Keeps tokens until the caller's coroutine passes them on. Shared by both coroutines.
+/// Buffer for the tokens of one answer, shared by the request's and the caller's coroutines.
 class token_relay final : public token_sink {
   public:
-    /// @param most tokens of the answer.
-    token_relay(const boost::asio::any_io_executor& executor, std::size_t most);
+    /// @param capacity capacity in tokens; at least the length of the answer.
+    token_relay(const boost::asio::any_io_executor& executor, std::size_t capacity);
 
     runtime::task<bool> accept(engine::stream_token token) override;
-    /// No more tokens come.
+    /// Marks the end of the answer; no more tokens follow.
     void close();
 
-    /// Passes tokens on until the relay is closed or the sink's caller is gone.
-    runtime::task<void> pass_on(token_sink& sink);
+    /// Passes tokens to `sink` until the relay is closed or the sink rejects a token because its
+    /// caller is gone.
+    runtime::task<void> forward_to(token_sink& sink);
 
   private:
     boost::asio::experimental::channel<void(boost::system::error_code, engine::stream_token)>
--- a/src/ferryroad/router/request/tunables.hpp
+++ b/src/ferryroad/router/request/tunables.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Limits of serving requests, in one place.
+/// Settings of request admission and execution.
 #pragma once
 
 #include "ferryroad/base/time.hpp"
@@ -9,24 +9,27 @@
 
 namespace ferryroad::router {
 
+/// Settings of `fair_admission`.
 struct admission_limits {
-    /// Requests that this router keeps at work for each live engine of a pool; more wait here,
-    /// where priority and fairness hold, and not in the engine.
-    std::size_t places_per_engine = 32;
+    /// Largest number of requests that this router runs at once for each available engine of a
+    /// pool. Further requests wait in the router's queue, which respects priority and fairness,
+    /// rather than in the engine's.
+    std::size_t max_requests_per_engine = 32;
 };
 
+/// Settings of `routing_request_service`.
 struct request_tunables {
     core::execution::tunables execution;
-    /// When a caller should come back to a router that isn't ready.
-    base::duration not_ready_retry = std::chrono::seconds(2);
-    /// How often an attempt that waits to start looks whether its engine still answers anyone.
-    base::duration suspicion_poll = std::chrono::milliseconds(100);
-    /// Longest wait for warm state from another engine before computing it anew.
-    base::duration import_wait = std::chrono::seconds(2);
-    /// How often a planned stop looks whether claimed requests have ended.
-    base::duration drain_poll = std::chrono::milliseconds(50);
-    /// Longest answer kept for callers that repeat a key.
-    std::size_t recorded_body_bytes = std::size_t{256} * 1024;
+    /// Retry time for callers while this router isn't ready.
+    base::duration not_ready_retry_after = std::chrono::seconds(2);
+    /// How often an attempt that waits for its start checks whether its engine is suspected.
+    base::duration suspicion_poll_interval = std::chrono::milliseconds(100);
+    /// Timeout for importing warm state from another engine; afterwards the prompt is recomputed.
+    base::duration import_timeout = std::chrono::seconds(2);
+    /// How often a graceful shutdown checks whether claimed requests have ended.
+    base::duration drain_poll_interval = std::chrono::milliseconds(50);
+    /// Largest answer body recorded for callers that repeat a key, in bytes.
+    std::size_t max_recorded_body_bytes = std::size_t{256} * 1024;
 };
 
 }  // namespace ferryroad::router
--- a/test/router/request/fake_router.hpp
+++ b/test/router/request/fake_router.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Scaffolding: everything a request service stands on, in memory and scripted.
+/// Test doubles: scripted in-memory versions of all collaborators of a request service.
 #pragma once
 
 #include "ferryroad/base/digest.hpp"
@@ -63,9 +63,10 @@
 struct fake_directory final : router::engine_directory {
     std::vector<base::engine_name> engines{base::engine_name("e1"), base::engine_name("e2"),
                                            base::engine_name("e3")};
-    std::vector<base::engine_name> left;    ///< No new work, though a selector may not know yet.
-    std::vector<base::engine_name> silent;  ///< Suspected.
-    int in_flight = 0;                      ///< Dispatches that no report or end has answered.
+    /// Take no new work, although the selector may still select them.
+    std::vector<base::engine_name> leaving_engines;
+    std::vector<base::engine_name> suspected_engines;
+    int in_flight = 0;  ///< Dispatches without a load report or end so far.
     std::vector<engine::error_code> failures;
 
     static router::engine_view view_of(const base::engine_name& name) {
@@ -81,13 +82,13 @@
         return views;
     }
     std::optional<router::engine_view> find(const base::engine_name& engine) const override {
-        if (std::count(left.begin(), left.end(), engine) > 0) {
+        if (std::count(leaving_engines.begin(), leaving_engines.end(), engine) > 0) {
             return std::nullopt;
         }
         return view_of(engine);
     }
     bool suspected(const base::engine_name& engine) const override {
-        return std::count(silent.begin(), silent.end(), engine) > 0;
+        return std::count(suspected_engines.begin(), suspected_engines.end(), engine) > 0;
     }
     void record_dispatch(const base::engine_name&, std::uint64_t) override { ++in_flight; }
     void record_end(const base::engine_name&) override { --in_flight; }
@@ -98,11 +99,11 @@
         failures.push_back(code);
     }
     void record_leaving(const base::engine_name& engine, base::incarnation) override {
-        left.push_back(engine);
+        leaving_engines.push_back(engine);
     }
 };
 
-/// Takes the first engine that isn't excluded.
+/// Selects the first engine that isn't excluded.
 struct fake_selector final : router::engine_selector {
     explicit fake_selector(const fake_directory& known) : directory(known) {}
     const fake_directory& directory;
@@ -130,15 +131,15 @@
     }
 };
 
-/// What one exchange with an engine does; a whole answer unless told otherwise.
+/// Script of one exchange with an engine. By default the exchange completes.
 struct exchange_script {
-    std::optional<engine::error> refused;    ///< Instead of opening.
-    std::optional<std::uint32_t> cut_at;     ///< Break before this token.
-    std::optional<std::uint32_t> silent_at;  ///< Never send this token.
+    std::optional<engine::error> refused;   ///< Error returned instead of opening the exchange.
+    std::optional<std::uint32_t> cut_at;    ///< The stream fails before this token.
+    std::optional<std::uint32_t> stall_at;  ///< The stream stalls before this token.
     engine::error_code cut_as = engine::error_code::connection_lost;
 };
 
-/// Answers "t0 t1 ..." and keeps a record of what it was asked.
+/// Fake engines that answer "t0 t1 ..." and record the calls they receive.
 class fake_engines final : public engine::client {
   public:
     struct call {
@@ -151,8 +152,8 @@
 
     explicit fake_engines(runtime::scheduler& scheduler) : scheduler_(scheduler) {}
 
-    base::duration answer_time{};         ///< Of application calls.
-    std::deque<exchange_script> scripts;  ///< Of the next exchanges, in order.
+    base::duration answer_delay{};        ///< Delay of answers to application calls.
+    std::deque<exchange_script> scripts;  ///< Scripts of the next exchanges, in order.
     std::vector<call> calls;
     std::vector<base::attempt_id> cancelled;
 
@@ -178,10 +179,10 @@
         const engine::engine_target& target, engine::application_request request) override {
         calls.push_back({"application", target.name, request.attempt, 0, 0});
         const exchange_script script = next_script();
-        if (script.silent_at) {
+        if (script.stall_at) {
             co_await scheduler_.sleep_until(base::monotonic_time::max());
         }
-        co_await scheduler_.sleep_for(answer_time);
+        co_await scheduler_.sleep_for(answer_delay);
         if (script.refused) {
             co_return *script.refused;
         }
@@ -216,7 +217,7 @@
                 co_return engine::stream_event(
                     engine::stream_started{base::incarnation(7), 1, 2, {}});
             }
-            if (script_.silent_at == next_) {
+            if (script_.stall_at == next_) {
                 co_await scheduler_.sleep_until(base::monotonic_time::max());
             }
             if (script_.cut_at == next_) {
@@ -264,14 +265,14 @@
     std::uint32_t max_tokens_ = 0;
 };
 
-/// Claims in memory, with the platform's outage as a switch.
+/// In-memory claim registry with a switch that simulates an outage of the platform.
 struct fake_claims final : router::claim_registry {
-    struct kept {
+    struct claim_record {
         base::attempt_id attempt;
         std::string content;
         std::optional<router::recorded_outcome> outcome;
     };
-    std::map<base::idempotency_key, kept> records;
+    std::map<base::idempotency_key, claim_record> records;
     bool outage = false;
 
     runtime::task<runtime::result<router::claim_result, platform::error>> claim(
@@ -280,8 +281,8 @@
             co_return platform::error{platform::error_code::unavailable, "down",
                                       std::chrono::seconds(3)};
         }
-        const auto [found, added] =
-            records.try_emplace(request.key, kept{request.attempt, request.content_sha256, {}});
+        const auto [found, added] = records.try_emplace(
+            request.key, claim_record{request.attempt, request.content_sha256, {}});
         router::claim_result result;
         if (added) {
             result.answer = router::claim_answer::granted;
@@ -306,7 +307,7 @@
     }
 };
 
-/// A request service on fakes.
+/// A request service with fake collaborators.
 struct fake_router {
     explicit fake_router(runtime::scheduler& scheduler)
         : engines(scheduler),
@@ -319,7 +320,7 @@
     fake_selector selector{directory};
     fake_engines engines;
     fake_claims claims;
-    router::whole_quota quota;
+    router::single_router_quota quota;
     router::fair_admission admission;
     router::routing_request_service service;
 };
--- a/test/router/request/request_service_test.cpp
+++ b/test/router/request/request_service_test.cpp
@@ -1,5 +1,5 @@
-/// A request through the service, in virtual time: what the caller gets and what the engines
-/// were asked, failure by failure.
+/// Tests requests through the service in virtual time. For each failure they check what the
+/// caller gets and which exchanges the engines receive.
 #include "bench/simulation/virtual_scheduler.hpp"
 #include "test/router/request/fake_router.hpp"
 
@@ -18,7 +18,7 @@
 
 struct text_sink final : router::token_sink {
     std::string text;
-    std::uint32_t gone_at = 1000;  ///< The caller leaves before this token.
+    std::uint32_t gone_at = 1000;  ///< The caller disconnects before this token.
     runtime::task<bool> accept(engine::stream_token token) override {
         if (token.index >= gone_at) {
             co_return false;
@@ -28,8 +28,8 @@
     }
 };
 
-/// One router in virtual time.
-struct run {
+/// A request service in virtual time, with its caller.
+struct service_fixture {
     bench::simulation::virtual_time time{1};
     bench::simulation::virtual_scheduler scheduler{time, 1};
     test::fake_router router{scheduler};
@@ -37,7 +37,7 @@
     std::optional<runtime::result<router::generation_summary, router::refusal>> generated;
     std::optional<runtime::result<router::application_reply, router::refusal>> replied;
 
-    ~run() { scheduler.kill(); }
+    ~service_fixture() { scheduler.kill(); }
 
     void generate(const char* path = "/v1/completions", const char* key = nullptr,
                   std::string prompt = "0123456789abcdef0123456789abcdef") {
@@ -73,16 +73,16 @@
             co_await (work() || scheduler.sleep_for(caller_waits));
         });
     }
-    /// Runs until nothing is left to do.
+    /// Runs `work` for up to two hours of virtual time.
     void start(std::function<runtime::task<void>()> work) {
         generated.reset();
         replied.reset();
-        works.push_back(std::move(work));
-        scheduler.spawn("test", works.back()());
+        tasks.push_back(std::move(work));
+        scheduler.spawn("test", tasks.back()());
         time.run_until(time.now() + 2h);
         cr_assert(time.failures().empty());
     }
-    std::deque<std::function<runtime::task<void>()>> works;
+    std::deque<std::function<runtime::task<void>()>> tasks;
 };
 
 engine::error failure(error_code code, proof proves) {
@@ -95,7 +95,7 @@
 test::exchange_script cut(std::uint32_t at, error_code as = error_code::connection_lost) {
     return {{}, at, {}, as};
 }
-test::exchange_script silent(std::uint32_t at) {
+test::exchange_script stall(std::uint32_t at) {
     return {{}, {}, at};
 }
 
@@ -103,71 +103,71 @@
     const char* name;
     const char* path;
     std::vector<test::exchange_script> scripts;
-    std::string asked;  ///< Each exchange: engine and first token; r marks a resume.
+    std::string exchanges;  ///< Each exchange as "engine@first token"; "r:" marks a resume.
     bool complete;
     refusal_code code;
     execution_report report;
 };
 
 const std::vector<row>& rows() {
-    constexpr const char* many = "/v1/completions";
-    constexpr const char* once = "/v1/chat/completions";
+    constexpr const char* repeatable_path = "/v1/completions";
+    constexpr const char* non_repeatable_path = "/v1/chat/completions";
     constexpr auto none = refusal_code::unauthorized;
     static const std::vector<row> table = {
-        {"whole", many, {}, "e1@0", true, none, {}},
+        {"whole", repeatable_path, {}, "e1@0", true, none, {}},
         {"not connected",
-         many,
+         repeatable_path,
          {refuses(error_code::connect_failed, proof::not_sent)},
          "e1@0 e2@0",
          true,
          none,
          {}},
-        {"broken, resumed", many, {cut(2)}, "e1@0 r:e1@2", true, none, {}},
-        {"broken, resumed once only", once, {cut(2)}, "e1@0 r:e1@2", true, none, {}},
+        {"broken, resumed", repeatable_path, {cut(2)}, "e1@0 r:e1@2", true, none, {}},
+        {"broken, resumed once only", non_repeatable_path, {cut(2)}, "e1@0 r:e1@2", true, none, {}},
         {"broken, attempt gone, continued",
-         many,
+         repeatable_path,
          {cut(2), refuses(error_code::not_found, proof::unknown)},
          "e1@0 r:e1@2 e2@2",
          true,
          none,
          {}},
         {"broken, attempt gone, once only",
-         once,
+         non_repeatable_path,
          {cut(2), refuses(error_code::not_found, proof::unknown)},
          "e1@0 r:e1@2",
          false,
          refusal_code::outcome_unknown,
          execution_report::unknown},
         {"silent stream continues elsewhere",
-         many,
+         repeatable_path,
          {cut(3, error_code::timed_out)},
          "e1@0 e2@3",
          true,
          none,
          {}},
         {"lost before the start",
-         many,
+         repeatable_path,
          {refuses(error_code::connection_lost, proof::unknown)},
          "e1@0 e2@0",
          true,
          none,
          {}},
         {"lost before the start, once only",
-         once,
+         non_repeatable_path,
          {refuses(error_code::connection_lost, proof::unknown)},
          "e1@0",
          false,
          refusal_code::outcome_unknown,
          execution_report::unknown},
         {"refused, once only",
-         once,
+         non_repeatable_path,
          {refuses(error_code::refused_leaving, proof::not_run)},
          "e1@0 e2@0",
          true,
          none,
          {}},
         {"pool full",
-         many,
+         repeatable_path,
          {refuses(error_code::refused_overloaded, proof::not_run),
           refuses(error_code::refused_overloaded, proof::not_run)},
          "e1@0 e2@0",
@@ -175,7 +175,7 @@
          refusal_code::overloaded,
          execution_report::not_run},
         {"all engines gone",
-         many,
+         repeatable_path,
          {refuses(error_code::connect_failed, proof::not_sent),
           refuses(error_code::connect_failed, proof::not_sent),
           refuses(error_code::connect_failed, proof::not_sent)},
@@ -184,8 +184,8 @@
          refusal_code::no_engine,
          execution_report::not_run},
         {"silent past the deadline",
-         many,
-         {silent(1)},
+         repeatable_path,
+         {stall(1)},
          "e1@0",
          false,
          refusal_code::deadline_exceeded,
@@ -194,12 +194,13 @@
     return table;
 }
 
-runtime::task<void> note_drain(run& one, std::optional<base::monotonic_time>& drained_at) {
-    co_await one.router.service.drain();
-    drained_at = one.time.now();
+runtime::task<void> record_drain(service_fixture& fixture,
+                                 std::optional<base::monotonic_time>& drained_at) {
+    co_await fixture.router.service.drain();
+    drained_at = fixture.time.now();
 }
 
-std::string asked(const test::fake_engines& engines) {
+std::string exchanges_of(const test::fake_engines& engines) {
     std::string text;
     for (const auto& call : engines.calls) {
         text += text.empty() ? "" : " ";
@@ -221,198 +222,200 @@
 
 ParameterizedTest(std::size_t* index, request_service, failure_table) {
     const row& expected = rows()[*index];
-    run one;
-    one.router.engines.scripts.assign(expected.scripts.begin(), expected.scripts.end());
-    one.generate(expected.path);
-    cr_assert(one.generated.has_value(), "%s: no end", expected.name);
-    const std::string calls = asked(one.router.engines);
-    cr_assert_str_eq(calls.c_str(), expected.asked.c_str(), "%s", expected.name);
-    cr_assert_eq(one.generated->has_value(), expected.complete, "%s", expected.name);
-    cr_assert_eq(one.router.directory.in_flight, 0, "%s", expected.name);
+    service_fixture fixture;
+    fixture.router.engines.scripts.assign(expected.scripts.begin(), expected.scripts.end());
+    fixture.generate(expected.path);
+    cr_assert(fixture.generated.has_value(), "%s: no end", expected.name);
+    const std::string calls = exchanges_of(fixture.router.engines);
+    cr_assert_str_eq(calls.c_str(), expected.exchanges.c_str(), "%s", expected.name);
+    cr_assert_eq(fixture.generated->has_value(), expected.complete, "%s", expected.name);
+    cr_assert_eq(fixture.router.directory.in_flight, 0, "%s", expected.name);
     if (expected.complete) {
-        cr_assert_str_eq(one.sink.text.c_str(), "t0 t1 t2 t3 t4 ", "%s", expected.name);
-        cr_assert_eq((*one.generated)->tokens, 5U);
-        cr_assert_eq((*one.generated)->cached_tokens, 4U);
+        cr_assert_str_eq(fixture.sink.text.c_str(), "t0 t1 t2 t3 t4 ", "%s", expected.name);
+        cr_assert_eq((*fixture.generated)->tokens, 5U);
+        cr_assert_eq((*fixture.generated)->cached_tokens, 4U);
     } else {
-        cr_assert_eq(one.generated->error().code, expected.code, "%s", expected.name);
-        cr_assert_eq(one.generated->error().execution, expected.report, "%s", expected.name);
-        cr_assert(one.generated->error().retry_after.has_value());
+        cr_assert_eq(fixture.generated->error().code, expected.code, "%s", expected.name);
+        cr_assert_eq(fixture.generated->error().execution, expected.report, "%s", expected.name);
+        cr_assert(fixture.generated->error().retry_after.has_value());
     }
 }
 
 Test(request_service, caller_gone_cancels_the_attempt) {
-    run one;
-    one.sink.gone_at = 2;
-    one.generate();
-    cr_assert(one.generated->has_error());
-    cr_assert_eq(one.router.engines.cancelled.size(), 1U);
-    cr_assert(one.router.engines.cancelled.front() == one.router.engines.calls.front().attempt);
+    service_fixture fixture;
+    fixture.sink.gone_at = 2;
+    fixture.generate();
+    cr_assert(fixture.generated->has_error());
+    cr_assert_eq(fixture.router.engines.cancelled.size(), 1U);
+    cr_assert(fixture.router.engines.cancelled.front() ==
+              fixture.router.engines.calls.front().attempt);
 }
 
 Test(request_service, cancelled_coroutine_cancels_the_attempt) {
-    run one;
-    one.router.engines.scripts.push_back(silent(0));
-    one.call("/app/readings", nullptr, "x", 5s);
-    cr_assert_not(one.replied.has_value());
-    cr_assert_eq(one.router.engines.cancelled.size(), 1U);
-    cr_assert_eq(one.router.directory.in_flight, 0);
+    service_fixture fixture;
+    fixture.router.engines.scripts.push_back(stall(0));
+    fixture.call("/app/readings", nullptr, "x", 5s);
+    cr_assert_not(fixture.replied.has_value());
+    cr_assert_eq(fixture.router.engines.cancelled.size(), 1U);
+    cr_assert_eq(fixture.router.directory.in_flight, 0);
 }
 
 Test(request_service, deadline_ends_a_silent_call) {
-    run one;
-    one.router.engines.scripts.push_back(silent(0));
-    one.call("/app/records", nullptr);
-    cr_assert(one.replied->has_error());
-    cr_assert_eq(one.replied->error().code, refusal_code::deadline_exceeded);
-    cr_assert_eq(one.replied->error().execution, execution_report::unknown);
-    cr_assert_eq(one.router.engines.cancelled.size(), 1U);
+    service_fixture fixture;
+    fixture.router.engines.scripts.push_back(stall(0));
+    fixture.call("/app/records", nullptr);
+    cr_assert(fixture.replied->has_error());
+    cr_assert_eq(fixture.replied->error().code, refusal_code::deadline_exceeded);
+    cr_assert_eq(fixture.replied->error().execution, execution_report::unknown);
+    cr_assert_eq(fixture.router.engines.cancelled.size(), 1U);
 }
 
-Test(request_service, an_attempt_that_waits_at_a_silent_engine_goes_elsewhere) {
-    run one;
-    one.router.engines.scripts.push_back(silent(0));
-    const base::engine_name silent_engine("e1");
-    one.time.after(2s, [&] { one.router.directory.silent.push_back(silent_engine); });
-    one.generate();
-    cr_assert(one.sink.text == "t0 t1 t2 t3 t4 ");
-    cr_assert(asked(one.router.engines) == "e1@0 e2@0");
-    cr_assert_eq(one.router.engines.cancelled.size(), 1U);
+Test(request_service, an_attempt_waiting_at_a_suspected_engine_is_retried_elsewhere) {
+    service_fixture fixture;
+    fixture.router.engines.scripts.push_back(stall(0));
+    const base::engine_name suspected_engine("e1");
+    fixture.time.after(
+        2s, [&] { fixture.router.directory.suspected_engines.push_back(suspected_engine); });
+    fixture.generate();
+    cr_assert(fixture.sink.text == "t0 t1 t2 t3 t4 ");
+    cr_assert(exchanges_of(fixture.router.engines) == "e1@0 e2@0");
+    cr_assert_eq(fixture.router.engines.cancelled.size(), 1U);
 }
 
-Test(request_service, a_call_that_may_not_be_repeated_waits_at_a_silent_engine) {
-    run one;
-    one.router.engines.answer_time = 5s;
-    one.router.directory.silent.push_back(base::engine_name("e1"));
-    one.call("/app/records", nullptr);
-    cr_assert(one.replied->has_value());
-    cr_assert_eq(one.router.engines.calls.size(), 1U);
+Test(request_service, a_non_repeatable_call_keeps_waiting_at_a_suspected_engine) {
+    service_fixture fixture;
+    fixture.router.engines.answer_delay = 5s;
+    fixture.router.directory.suspected_engines.push_back(base::engine_name("e1"));
+    fixture.call("/app/records", nullptr);
+    cr_assert(fixture.replied->has_value());
+    cr_assert_eq(fixture.router.engines.calls.size(), 1U);
 }
 
-Test(request_service, engine_that_left_after_the_choice_gets_nothing) {
-    run one;
-    one.router.directory.left.push_back(base::engine_name("e1"));
-    one.call("/app/records", nullptr);
-    cr_assert(one.replied->has_value());
-    const std::string calls = asked(one.router.engines);
+Test(request_service, an_engine_that_left_after_selection_gets_no_attempt) {
+    service_fixture fixture;
+    fixture.router.directory.leaving_engines.push_back(base::engine_name("e1"));
+    fixture.call("/app/records", nullptr);
+    cr_assert(fixture.replied->has_value());
+    const std::string calls = exchanges_of(fixture.router.engines);
     cr_assert_str_eq(calls.c_str(), "e2@0");
 }
 
 Test(request_service, repeated_key_gets_the_recorded_outcome) {
-    run one;
-    one.call("/app/records", "k1");
-    cr_assert((*one.replied)->body == "echo:x");
-    one.call("/app/records", "k1");
-    cr_assert((*one.replied)->body == "echo:x");
-    cr_assert_eq(one.router.engines.calls.size(), 1U, "it ran once");
-    one.call("/app/records", "k1", "other");
-    cr_assert_eq(one.replied->error().code, refusal_code::key_in_use);
-    cr_assert_not(one.replied->error().retry_after.has_value(), "it never gets better");
+    service_fixture fixture;
+    fixture.call("/app/records", "k1");
+    cr_assert((*fixture.replied)->body == "echo:x");
+    fixture.call("/app/records", "k1");
+    cr_assert((*fixture.replied)->body == "echo:x");
+    cr_assert_eq(fixture.router.engines.calls.size(), 1U, "it ran once");
+    fixture.call("/app/records", "k1", "other");
+    cr_assert_eq(fixture.replied->error().code, refusal_code::key_in_use);
+    cr_assert_not(fixture.replied->error().retry_after.has_value(), "a retry can't succeed");
 }
 
 Test(request_service, repeated_key_gets_the_recorded_tokens) {
-    run one;
-    one.generate("/v1/chat/completions", "k1");
-    one.sink.text.clear();
-    one.generate("/v1/chat/completions", "k1");
-    cr_assert_str_eq(one.sink.text.c_str(), "t0 t1 t2 t3 t4 ");
-    cr_assert_eq((*one.generated)->tokens, 5U);
-    cr_assert_eq(one.router.engines.calls.size(), 1U, "it ran once");
+    service_fixture fixture;
+    fixture.generate("/v1/chat/completions", "k1");
+    fixture.sink.text.clear();
+    fixture.generate("/v1/chat/completions", "k1");
+    cr_assert_str_eq(fixture.sink.text.c_str(), "t0 t1 t2 t3 t4 ");
+    cr_assert_eq((*fixture.generated)->tokens, 5U);
+    cr_assert_eq(fixture.router.engines.calls.size(), 1U, "it ran once");
 }
 
 Test(request_service, a_claimed_call_runs_to_its_end_without_its_caller) {
-    run one;
-    one.router.engines.answer_time = 3s;
-    one.call("/app/records", "k1", "x", 1s);
-    cr_assert_not(one.replied.has_value(), "the caller left");
-    cr_assert(one.router.engines.cancelled.empty());
-    one.call("/app/records", "k1");
-    cr_assert((*one.replied)->body == "echo:x");
-    cr_assert_eq(one.router.engines.calls.size(), 1U, "it ran once");
+    service_fixture fixture;
+    fixture.router.engines.answer_delay = 3s;
+    fixture.call("/app/records", "k1", "x", 1s);
+    cr_assert_not(fixture.replied.has_value(), "the caller left");
+    cr_assert(fixture.router.engines.cancelled.empty());
+    fixture.call("/app/records", "k1");
+    cr_assert((*fixture.replied)->body == "echo:x");
+    cr_assert_eq(fixture.router.engines.calls.size(), 1U, "it ran once");
 }
 
-Test(request_service, a_planned_stop_waits_for_claimed_calls_without_callers) {
-    run one;
-    one.router.engines.answer_time = 3s;
-    const auto left_at = one.time.now() + 1s;
+Test(request_service, drain_waits_for_claimed_calls_without_callers) {
+    service_fixture fixture;
+    fixture.router.engines.answer_delay = 3s;
+    const auto left_at = fixture.time.now() + 1s;
     std::optional<base::monotonic_time> drained_at;
-    one.time.at(left_at + 1ms, one.scheduler.process(),
-                [&] { one.scheduler.spawn("drain", note_drain(one, drained_at)); });
-    one.call("/app/records", "k1", "x", 1s);
+    fixture.time.at(left_at + 1ms, fixture.scheduler.process(),
+                    [&] { fixture.scheduler.spawn("drain", record_drain(fixture, drained_at)); });
+    fixture.call("/app/records", "k1", "x", 1s);
     cr_assert(drained_at.has_value());
     cr_assert_geq((*drained_at - left_at).count(), base::duration(2s).count());
-    cr_assert(one.router.claims.records.begin()->second.outcome.has_value());
+    cr_assert(fixture.router.claims.records.begin()->second.outcome.has_value());
 }
 
 Test(request_service, a_claimed_generation_runs_to_its_end_without_its_caller) {
-    run one;
-    one.sink.gone_at = 2;
-    one.generate("/v1/chat/completions", "k1");
-    one.sink = text_sink();
-    one.generate("/v1/chat/completions", "k1");
-    cr_assert(one.sink.text == "t0 t1 t2 t3 t4 ");
-    cr_assert_eq(one.router.engines.calls.size(), 1U, "it ran once");
+    service_fixture fixture;
+    fixture.sink.gone_at = 2;
+    fixture.generate("/v1/chat/completions", "k1");
+    fixture.sink = text_sink();
+    fixture.generate("/v1/chat/completions", "k1");
+    cr_assert(fixture.sink.text == "t0 t1 t2 t3 t4 ");
+    cr_assert_eq(fixture.router.engines.calls.size(), 1U, "it ran once");
 }
 
-Test(request_service, an_answer_too_long_to_keep_is_complete_all_the_same) {
-    run one;
-    const std::string body(router::request_tunables{}.recorded_body_bytes, 'x');
-    one.call("/app/records", "k1", body);
-    cr_assert((*one.replied)->body == "echo:" + body);
-    one.call("/app/records", "k1", body);
-    cr_assert_eq(one.replied->error().code, refusal_code::key_in_use);
-    cr_assert_eq(one.replied->error().execution, execution_report::complete);
+Test(request_service, an_answer_too_long_to_record_is_still_complete) {
+    service_fixture fixture;
+    const std::string body(router::request_tunables{}.max_recorded_body_bytes, 'x');
+    fixture.call("/app/records", "k1", body);
+    cr_assert((*fixture.replied)->body == "echo:" + body);
+    fixture.call("/app/records", "k1", body);
+    cr_assert_eq(fixture.replied->error().code, refusal_code::key_in_use);
+    cr_assert_eq(fixture.replied->error().execution, execution_report::complete);
 }
 
 Test(request_service, key_of_an_unknown_outcome_stays_closed) {
-    run one;
-    one.router.engines.scripts.push_back(refuses(error_code::connection_lost, proof::unknown));
-    one.call("/app/records", "k1");
-    cr_assert_eq(one.replied->error().code, refusal_code::outcome_unknown);
-    one.call("/app/records", "k1");
-    cr_assert_eq(one.replied->error().code, refusal_code::outcome_unknown);
-    cr_assert_eq(one.router.engines.calls.size(), 1U);
+    service_fixture fixture;
+    fixture.router.engines.scripts.push_back(refuses(error_code::connection_lost, proof::unknown));
+    fixture.call("/app/records", "k1");
+    cr_assert_eq(fixture.replied->error().code, refusal_code::outcome_unknown);
+    fixture.call("/app/records", "k1");
+    cr_assert_eq(fixture.replied->error().code, refusal_code::outcome_unknown);
+    cr_assert_eq(fixture.router.engines.calls.size(), 1U);
 }
 
-Test(request_service, key_of_a_request_that_never_ran_is_free_again) {
-    run one;
-    one.router.selector.failure = {router::selection_failure::no_engine, 2s};
-    one.call("/app/records", "k1");
-    cr_assert_eq(one.replied->error().code, refusal_code::no_engine);
-    cr_assert(one.replied->error().retry_after == 2s);
-    one.router.selector.failure.reset();
-    one.call("/app/records", "k1");
-    cr_assert(one.replied->has_value());
+Test(request_service, key_of_a_request_that_never_ran_is_released) {
+    service_fixture fixture;
+    fixture.router.selector.failure = {router::selection_failure::no_engine, 2s};
+    fixture.call("/app/records", "k1");
+    cr_assert_eq(fixture.replied->error().code, refusal_code::no_engine);
+    cr_assert(fixture.replied->error().retry_after == 2s);
+    fixture.router.selector.failure.reset();
+    fixture.call("/app/records", "k1");
+    cr_assert(fixture.replied->has_value());
 }
 
 Test(request_service, nothing_runs_while_claims_cannot_be_recorded) {
-    run one;
-    one.router.claims.outage = true;
-    one.call("/app/records", "k1");
-    cr_assert_eq(one.replied->error().code, refusal_code::platform_unavailable);
-    cr_assert_eq(one.replied->error().execution, execution_report::not_run);
-    cr_assert(one.replied->error().retry_after == 3s);
-    cr_assert(one.router.engines.calls.empty());
+    service_fixture fixture;
+    fixture.router.claims.outage = true;
+    fixture.call("/app/records", "k1");
+    cr_assert_eq(fixture.replied->error().code, refusal_code::platform_unavailable);
+    cr_assert_eq(fixture.replied->error().execution, execution_report::not_run);
+    cr_assert(fixture.replied->error().retry_after == 3s);
+    cr_assert(fixture.router.engines.calls.empty());
 }
 
-Test(request_service, an_unconfirmed_router_takes_nothing) {
-    run one;
-    one.router.configuration.is_confirmed = false;
-    one.generate();
-    cr_assert_eq(one.generated->error().code, refusal_code::not_ready);
-    cr_assert(one.generated->error().retry_after.has_value());
+Test(request_service, a_router_with_unconfirmed_configuration_refuses_requests) {
+    service_fixture fixture;
+    fixture.router.configuration.is_confirmed = false;
+    fixture.generate();
+    cr_assert_eq(fixture.generated->error().code, refusal_code::not_ready);
+    cr_assert(fixture.generated->error().retry_after.has_value());
 }
 
 Test(request_service, tenant_rate_is_limited) {
-    run one;
-    auto& limits = one.router.configuration.declared.tenants.begin()->second.limits;
+    service_fixture fixture;
+    auto& limits = fixture.router.configuration.declared.tenants.begin()->second.limits;
     limits.requests_per_second = 0.0001;
     limits.request_burst = 2;
-    one.generate();
-    one.time.run_until(one.time.now());
+    fixture.generate();
+    fixture.time.run_until(fixture.time.now());
     limits.requests_per_second = 1e-9;
-    one.generate();
-    cr_assert(one.generated->has_value());
-    one.generate();
-    cr_assert_eq(one.generated->error().code, refusal_code::over_limit);
-    cr_assert_gt(one.generated->error().retry_after->count(), 0);
+    fixture.generate();
+    cr_assert(fixture.generated->has_value());
+    fixture.generate();
+    cr_assert_eq(fixture.generated->error().code, refusal_code::over_limit);
+    cr_assert_gt(fixture.generated->error().retry_after->count(), 0);
 }
