--- a/src/ferryroad/router/selection/local_prefix_knowledge.cpp
+++ b/src/ferryroad/router/selection/local_prefix_knowledge.cpp
@@ -21,7 +21,7 @@
 }
 
 void local_prefix_knowledge::report(prefix_observation observation) {
-    index_.record(observation.scope, observation.pieces, observation.process, observation.why,
+    index_.record(observation.scope, observation.pieces, observation.process, observation.basis,
                   clock_.now());
 }
 
--- a/src/ferryroad/router/selection/prefix_knowledge.hpp
+++ b/src/ferryroad/router/selection/prefix_knowledge.hpp
@@ -36,7 +36,7 @@
     core::prefix::cache_namespace scope;
     core::prefix::piece_chain pieces;  ///< Root first.
     core::prefix::engine_process process;
-    core::prefix::evidence why{};      ///< What the observation is based on.
+    core::prefix::evidence basis{};    ///< What the observation is based on.
     std::uint32_t prefill_tokens = 0;  ///< For a dispatch: tokens the engine has to prefill.
 };
 
--- a/src/ferryroad/router/selection/shared_prefix_knowledge.cpp
+++ b/src/ferryroad/router/selection/shared_prefix_knowledge.cpp
@@ -149,13 +149,13 @@
 }
 
 void shared_prefix_knowledge::report(prefix_observation observation) {
-    local_.record(observation.scope, observation.pieces, observation.process, observation.why,
+    local_.record(observation.scope, observation.pieces, observation.process, observation.basis,
                   scheduler_.now());
     const base::piece_hash root = observation.pieces.front();
     distribute(replicas_of(root),
                {std::move(observation.scope), std::move(observation.pieces),
-                std::move(observation.process), core::prefix::prefix_change::held, observation.why,
-                observation.prefill_tokens});
+                std::move(observation.process), core::prefix::prefix_change::held,
+                observation.basis, observation.prefill_tokens});
 }
 
 void shared_prefix_knowledge::report_events(const base::engine_name& engine,
--- a/test/router/selection/prefix_link_test.cpp
+++ b/test/router/selection/prefix_link_test.cpp
@@ -92,10 +92,10 @@
     }
 
     auto report(core::prefix::prefix_change change, std::size_t pieces,
-                core::prefix::evidence why = core::prefix::evidence::dispatch) {
+                core::prefix::evidence basis = core::prefix::evidence::dispatch) {
         const bool lost = change == core::prefix::prefix_change::events_lost;
         core::prefix::prefix_report sent{lost ? core::prefix::cache_namespace{} : scope,
-                                         chain_of(pieces), engine_a, change, why};
+                                         chain_of(pieces), engine_a, change, basis};
         return run(exchange.report(other, {sent}, 1s));
     }
     auto lookup() { return run(exchange.lookup(other, scope, chain_of(13), 1s)); }
--- a/test/router/selection/shared_prefix_knowledge_test.cpp
+++ b/test/router/selection/shared_prefix_knowledge_test.cpp
@@ -55,9 +55,9 @@
 }
 
 void report(router_group& group, int router, std::size_t pieces,
-            core::prefix::engine_process process = engine_a, evidence why = evidence::dispatch) {
+            core::prefix::engine_process process = engine_a, evidence basis = evidence::dispatch) {
     group.knowledge[static_cast<std::size_t>(router)]->report(
-        {scope, chain_of(pieces), process, why});
+        {scope, chain_of(pieces), process, basis});
 }
 
 std::uint32_t longest_match(router_group& group, int router) {
