--- a/src/ferryroad/router/request/token_relay.hpp
+++ b/src/ferryroad/router/request/token_relay.hpp
@@ -15,7 +15,7 @@
 /// Buffer for the tokens of one answer, shared by the request's and the caller's coroutines.
 class token_relay final : public token_sink {
   public:
-    /// @param capacity capacity in tokens; at least the length of the answer.
+    /// @param capacity in tokens; at least the length of the answer.
     token_relay(const boost::asio::any_io_executor& executor, std::size_t capacity);
 
     runtime::task<bool> accept(engine::stream_token token) override;
