--- a/src/ferryroad/leases/lease_service.cpp
+++ b/src/ferryroad/leases/lease_service.cpp
@@ -14,22 +14,24 @@
 
 constexpr std::string_view component = "leases";
 
-lease::stored_row stored(const platform::row& row) {
+lease::stored_row to_stored_row(const platform::row& row) {
     return {lease::row_version(row.version.value), row.value};
 }
 
-/// What a failed write means: only these two errors prove that nothing was changed.
-lease::event failed_write(const platform::error& failure) {
-    const bool unchanged = failure.code == platform::error_code::unavailable ||
-                           failure.code == platform::error_code::rate_limited;
-    if (unchanged) {
+/// Only these two errors prove that the write had no effect; after any other one its outcome is
+/// unknown.
+lease::event to_failure_event(const platform::error& failure) {
+    const bool had_no_effect = failure.code == platform::error_code::unavailable ||
+                               failure.code == platform::error_code::rate_limited;
+    if (had_no_effect) {
         return lease::refused{failure.retry_after};
     }
     return lease::write_lost{};
 }
 
 void log_change(const lease_name& name, const std::optional<base::fencing_token>& token) {
-    runtime::log(runtime::log_level::info, component, token ? "lease taken" : "lease gone",
+    runtime::log(runtime::log_level::info, component,
+                 token ? "lease acquired" : "lease released or expired",
                  {{"lease", name.value}, {"token", token ? std::to_string(token->value) : ""}});
 }
 
@@ -40,10 +42,10 @@
     : scheduler_(scheduler), table_(table), self_(std::move(self)), settings_(settings) {}
 
 void lease_service::contend(lease_name name, std::function<bool()> wanted) {
-    contended entry{{self_, settings_.lease, scheduler_.random()}, std::move(wanted)};
-    const auto [place, added] = leases_.emplace(name, std::move(entry));
+    contended_lease entry{{self_, settings_.lease, scheduler_.random()}, std::move(wanted)};
+    const auto [position, added] = leases_.emplace(name, std::move(entry));
     if (added) {
-        scheduler_.spawn(component, run(std::move(name), place->second));
+        scheduler_.spawn(component, run(std::move(name), position->second));
     }
 }
 
@@ -81,34 +83,34 @@
     return found == leases_.end() ? base::monotonic_time{} : found->second.holder.predecessor_end();
 }
 
-runtime::task<void> lease_service::run(lease_name name, contended& lease) {
+runtime::task<void> lease_service::run(lease_name name, contended_lease& lease) {
     const platform::row_key key("lease/" + name.value);
-    std::optional<base::fencing_token> last;
+    std::optional<base::fencing_token> last_token;
     while (true) {
         lease.holder.want(!stopped_ && lease.wanted());
         const auto token = lease.holder.token(scheduler_.now());
-        if (token != last) {
+        if (token != last_token) {
             log_change(name, token);
-            last = token;
+            last_token = token;
         }
-        lease::action wanted = lease.holder.next(scheduler_.now());
-        if (const auto* wait = std::get_if<lease::wait_until>(&wanted)) {
+        lease::action action = lease.holder.next(scheduler_.now());
+        if (const auto* wait = std::get_if<lease::wait_until>(&action)) {
             if (stopped_ && wait->when == base::monotonic_time::max()) {
                 co_return;
             }
-            const base::monotonic_time look = scheduler_.now() + settings_.look_period;
-            co_await scheduler_.sleep_until(std::min(wait->when, look));
+            const base::monotonic_time next_check = scheduler_.now() + settings_.look_period;
+            co_await scheduler_.sleep_until(std::min(wait->when, next_check));
             continue;
         }
-        const lease::event happened = co_await carry_out(key, std::move(wanted));
-        lease.holder.handle(happened, scheduler_.now());
+        const lease::event result = co_await perform(key, std::move(action));
+        lease.holder.handle(result, scheduler_.now());
     }
 }
 
-runtime::task<lease::event> lease_service::carry_out(platform::row_key key, lease::action wanted) {
+runtime::task<lease::event> lease_service::perform(platform::row_key key, lease::action action) {
     ++table_calls_;
-    if (auto* change = std::get_if<lease::write_row>(&wanted)) {
-        return write(std::move(key), std::move(*change));
+    if (auto* update = std::get_if<lease::write_row>(&action)) {
+        return write(std::move(key), std::move(*update));
     }
     return read(std::move(key));
 }
@@ -119,18 +121,18 @@
     if (!rows) {
         co_return lease::refused{rows.error().retry_after};
     }
-    co_return lease::row_read{rows->empty() ? lease::stored_row{} : stored(rows->front())};
+    co_return lease::row_read{rows->empty() ? lease::stored_row{} : to_stored_row(rows->front())};
 }
 
-runtime::task<lease::event> lease_service::write(platform::row_key key, lease::write_row wanted) {
+runtime::task<lease::event> lease_service::write(platform::row_key key, lease::write_row update) {
     platform::transaction change;
-    change.conditions.push_back({key, platform::row_version(wanted.expected.value)});
-    change.writes.push_back({key, std::move(wanted.value)});
+    change.conditions.push_back({key, platform::row_version(update.expected.value)});
+    change.writes.push_back({key, std::move(update.value)});
     std::vector<platform::transaction> changes;
     changes.push_back(std::move(change));
     const auto outcomes = co_await table_.transact(std::move(changes));
     if (!outcomes) {
-        co_return failed_write(outcomes.error());
+        co_return to_failure_event(outcomes.error());
     }
     if (outcomes->size() != 1) {
         co_return lease::write_lost{};
@@ -140,7 +142,7 @@
         co_return lease::write_committed{lease::row_version(outcome.version.value)};
     }
     const platform::row row = outcome.conflicting.value_or(platform::row{});
-    co_return lease::write_conflicted{stored(row)};
+    co_return lease::write_conflicted{to_stored_row(row)};
 }
 
 }  // namespace ferryroad::leases
--- a/src/ferryroad/leases/lease_service.hpp
+++ b/src/ferryroad/leases/lease_service.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Leases of this router in the platform's table: who of all routers plays a role now.
+/// Leases in the platform's table. Each one grants a role to a single router at a time; this
+/// service acquires, renews and releases the leases of one router.
 #pragma once
 
 #include "ferryroad/coordination/lease/lease_holder.hpp"
@@ -17,60 +18,64 @@
 
 struct lease_service_settings {
     coordination::lease::lease_settings lease;
-    /// Between two looks at whether a lease is wanted.
+    /// Longest time until the service checks again whether a lease is wanted.
     base::duration look_period = std::chrono::milliseconds(500);
 };
 
-/// Used from the event loop's thread; kept until the loop has ended. Collaborators outlive it.
+/// Not thread-safe: used from the event loop's thread only. Must exist until the event loop has
+/// ended. The scheduler and the table must outlive it.
 class lease_service {
   public:
     lease_service(runtime::scheduler& scheduler, platform::table& table,
                   coordination::lease::lease_identity self, lease_service_settings settings = {});
 
-    /// Contends for `name` while `wanted` says so, and releases it when it no longer does.
-    /// Called once a lease.
+    /// Tries to acquire and keep the lease `name` while `wanted` returns true, and releases it
+    /// when `wanted` returns false. Call it once per lease.
     void contend(lease_name name, std::function<bool()> wanted);
-    /// Releases every lease.
+    /// Releases all leases and ends the coroutines that maintain them.
     void stop() { stopped_ = true; }
 
-    /// To be asked right before each act. @return the token that the act must carry, or
-    /// nothing where this router may not act.
+    /// Call it right before each operation that the lease protects.
+    /// @return the fencing token that the operation must carry, or nothing if this router doesn't
+    /// hold the lease, no longer wants it or is stopping.
     std::optional<base::fencing_token> token(const lease_name& name) const;
 
-    /// @return whether this router holds the lease at all, still wanted or not.
+    /// @return whether this router holds the lease, even if it is no longer wanted.
     bool holds(const lease_name& name) const;
 
-    /// What the lease's row is to say to the next holder.
+    /// Sets the note that is stored in the lease's row for the next holder. Does nothing for a
+    /// lease that `contend` was not called for.
     void set_note(const lease_name& name, std::uint64_t note);
-    /// @return the note surely stored while this router holds the lease, or nothing.
+    /// @return the note that is known to be stored; nothing if this router doesn't hold the
+    /// lease or the outcome of a write is still unknown.
     std::optional<std::uint64_t> stored_note(const lease_name& name) const;
-    /// @return what the holder before had left.
+    /// @return the note that the previous holder left in the row; 0 if there is none.
     std::uint64_t predecessor_note(const lease_name& name) const;
-    /// @return by when the holder before had surely stopped to act.
+    /// @return a time by which the previous holder's lease had certainly expired or been released.
     base::monotonic_time predecessor_end(const lease_name& name) const;
 
-    /// @return calls made to the table for leases so far.
+    /// @return number of table calls made for leases so far.
     std::uint64_t table_calls() const { return table_calls_; }
 
   private:
-    struct contended {
+    struct contended_lease {
         coordination::lease::lease_holder holder;
         std::function<bool()> wanted;
     };
 
-    runtime::task<void> run(lease_name name, contended& lease);
-    /// Reads or writes the row as the holder asks.
-    runtime::task<coordination::lease::event> carry_out(platform::row_key key,
-                                                        coordination::lease::action wanted);
+    runtime::task<void> run(lease_name name, contended_lease& lease);
+    /// Performs the table read or write that the lease's state machine requests.
+    runtime::task<coordination::lease::event> perform(platform::row_key key,
+                                                      coordination::lease::action action);
     runtime::task<coordination::lease::event> read(platform::row_key key);
     runtime::task<coordination::lease::event> write(platform::row_key key,
-                                                    coordination::lease::write_row wanted);
+                                                    coordination::lease::write_row update);
 
     runtime::scheduler& scheduler_;
     platform::table& table_;
     coordination::lease::lease_identity self_;
     lease_service_settings settings_;
-    std::map<lease_name, contended> leases_;
+    std::map<lease_name, contended_lease> leases_;
     std::uint64_t table_calls_ = 0;
     bool stopped_ = false;
 };
--- a/src/ferryroad/leases/presence.hpp
+++ b/src/ferryroad/leases/presence.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// Which routers there are: each keeps a row of its own fresh in the table, and is told which
-/// rows change. Limits that hold for all routers together are divided by their number.
+/// Heartbeats of the routers in the platform's table: each router rewrites its own row
+/// periodically and watches the rows of the others, so that it knows which routers are alive.
+/// Limits that apply to all routers together are divided by their number.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -18,58 +19,68 @@
 namespace ferryroad::leases {
 
 struct presence_settings {
-    /// Between two writes of the own row, where there are few routers.
-    base::duration least_period = std::chrono::seconds(10);
-    /// All routers together write no more often than once in this time, as every change passes
-    /// through every router: some 100 bytes each, of the 4 KB a second that a router may spend
-    /// on control.
+    /// Period of the heartbeat while there are few routers.
+    base::duration min_period = std::chrono::seconds(10);
+    /// With more routers, the heartbeat period is this times their number. All routers together
+    /// then write one row per 250 ms. Every write is sent to every router at about 100 bytes, and a
+    /// router may spend 4 KB per second on control traffic.
     base::duration period_per_router = std::chrono::milliseconds(250);
-    /// A row that hasn't changed for so many periods is that of a router that is gone.
+    /// A router whose row hasn't changed for this many periods is no longer counted as present.
     double lifetime_periods = 3.2;
-    /// The first write is tried again after so long where it wasn't taken, twice as long each time:
-    /// of many routers that start together, the table takes some at once. Until it is taken nobody
-    /// knows of this router; a later one is made good by the next.
+    /// Delay before the first write is retried if it failed; doubles with each failure up to the
+    /// period. When many routers start together, the table rejects some of their writes, and a
+    /// router is unknown to the others until its first write succeeds. A later write that fails
+    /// is not retried: the next heartbeat replaces it.
     base::duration first_retry = std::chrono::milliseconds(300);
 };
 
+/// A router and its self-description.
 struct present_router {
     base::router_name name;
-    std::string note;  ///< What it says of itself.
+    std::string note;  ///< Free text that the router publishes about itself.
 
     friend bool operator==(const present_router&, const present_router&) = default;
 };
 
-/// Keys of the rows begin with this.
+/// Prefix of the heartbeat rows' keys; the router's name follows.
 inline constexpr std::string_view presence_key_prefix = "routers/";
 
-/// @return the router that a row is of; nothing where it is none's. Thread-safe.
+/// @return the router that a heartbeat row describes; nothing if the key is not that of a
+/// heartbeat row. Thread-safe.
 std::optional<present_router> decode_presence(std::string_view key, const std::string& value);
 
-/// Used from the event loop's thread; kept until the loop has ended. Collaborators outlive it.
+/// Publishes the heartbeat of this router and tracks those of the others. Not thread-safe: used
+/// from the event loop's thread only. Must exist until the event loop has ended. The scheduler and
+/// the table must outlive it.
 class presence {
   public:
-    /// @param told after each `look`, of all that are present.
+    /// @param on_present called by each `look` with all routers that are present, this one first.
     presence(runtime::scheduler& scheduler, platform::table& table, present_router self,
-             std::function<void(const std::vector<present_router>&)> told,
+             std::function<void(const std::vector<present_router>&)> on_present,
              presence_settings settings = {});
 
-    /// Called once.
+    /// Starts the heartbeat. Call it once.
     void start();
+    /// Ends the heartbeat; the row stays until the others remove it.
     void stop() { m_stopped = true; }
 
-    /// A router's row, as the table has it now; removed where `version` is 0. A router whose own
-    /// row was removed writes it again: others took it for gone.
+    /// Takes the current state of a heartbeat row; `version` 0 means that the row was removed. If
+    /// this router's own row was removed, because another router declared it dead, it is written
+    /// again.
     void see(const platform::row& row);
-    /// The router is gone: its row goes, unless it has written it again since.
+    /// Deletes the row of a router that has ended, unless the router has rewritten the row in the
+    /// meantime.
     void remove_gone(const base::router_name& name);
-    /// Tells who is present, from the rows seen; called after each reading of the table.
+    /// Reports the routers that are present according to the rows seen so far. Call it after each
+    /// read of the table.
     void look();
-    /// @return whether the table has taken this router's row.
+    /// @return whether the first write of this router's row has succeeded.
     bool is_listed() const { return m_listed; }
-    /// @return time between two writes of the own row, but for a jitter.
+    /// @return the period of the heartbeat, without jitter.
     base::duration period() const;
 
   private:
+    /// A row as last received, and when its version last changed.
     struct seen_row {
         platform::row_version version;
         base::monotonic_time changed_at;
@@ -77,9 +88,9 @@
     };
 
     runtime::task<void> run();
-    /// @return whether it was taken.
+    /// @return whether the write succeeded.
     runtime::task<bool> write_own_row();
-    runtime::task<void> write_again();
+    runtime::task<void> restore_own_row();
     runtime::task<void> remove(platform::row_key key, platform::row_version version);
     runtime::task<void> pause(base::duration length);
     std::vector<present_router> present(base::monotonic_time now) const;
@@ -87,10 +98,10 @@
     runtime::scheduler& m_scheduler;
     platform::table& m_table;
     present_router m_self;
-    std::function<void(const std::vector<present_router>&)> m_told;
+    std::function<void(const std::vector<present_router>&)> m_on_present;
     presence_settings m_settings;
     std::map<platform::row_key, seen_row> m_rows;
-    std::size_t m_present = 1;  ///< As told last.
+    std::size_t m_present_count = 1;  ///< As of the last `look`.
     bool m_listed = false;
     bool m_stopped = false;
 };
--- a/test/leases/presence_test.cpp
+++ b/test/leases/presence_test.cpp
@@ -1,4 +1,5 @@
-/// Routers count each other by rows that change, and forget those that no longer do.
+/// Heartbeat rows: routers count each other by rows that change, and no longer count a router whose
+/// row has stopped changing.
 #include "ferryroad/leases/presence.hpp"
 
 #include "test/http/loopback.hpp"
@@ -13,18 +14,20 @@
 
 namespace {
 
-class rows_of_routers final : public platform::table {
+/// A table in memory that can reject writes and records the conditions of all writes.
+class fake_table final : public platform::table {
   public:
     runtime::task<platform::result<std::vector<platform::transaction_outcome>>> transact(
         std::vector<platform::transaction> transactions) override {
-        if (refused_writes > 0) {
-            --refused_writes;
+        if (rejected_writes > 0) {
+            --rejected_writes;
             co_return platform::error{platform::error_code::rate_limited, "busy", std::nullopt};
         }
-        for (const platform::transaction& one : transactions) {
-            conditions.insert(conditions.end(), one.conditions.begin(), one.conditions.end());
-            for (const platform::row_write& write : one.writes) {
-                versions[write.key] = platform::row_version(++last);
+        for (const platform::transaction& transaction : transactions) {
+            conditions.insert(conditions.end(), transaction.conditions.begin(),
+                              transaction.conditions.end());
+            for (const platform::row_write& write : transaction.writes) {
+                versions[write.key] = platform::row_version(++last_version);
                 values[write.key] = write.value.value_or("");
             }
         }
@@ -44,9 +47,9 @@
     }
     std::map<platform::row_key, platform::row_version> versions;
     std::map<platform::row_key, std::string> values;
-    std::uint64_t last = 0;
-    std::vector<platform::row_condition> conditions;  ///< Of all writes.
-    int refused_writes = 0;                           ///< The next ones.
+    std::uint64_t last_version = 0;
+    std::vector<platform::row_condition> conditions;  ///< Of all writes so far.
+    int rejected_writes = 0;                          ///< Number of the next writes that fail.
 };
 
 struct router {
@@ -58,10 +61,10 @@
                },
                {5ms, 0ms, 12.0}) {
         here.start();
-        loop.scheduler.spawn("test", follow(loop, static_cast<rows_of_routers&>(table)));
+        loop.scheduler.spawn("test", follow(loop, static_cast<fake_table&>(table)));
     }
-    /// Tells of the table's rows, as a follower of the table does.
-    runtime::task<void> follow(ferryroad::test::loopback& loop, rows_of_routers& table) {
+    /// Passes the table's rows to `here` repeatedly, like a reader that polls the table.
+    runtime::task<void> follow(ferryroad::test::loopback& loop, fake_table& table) {
         for (;;) {
             std::string prefix;
             const auto rows = co_await table.scan(std::move(prefix), platform::row_key(), 500);
@@ -77,13 +80,13 @@
     presence here;
 };
 
-runtime::task<void> until_all_count(ferryroad::test::loopback& loop,
-                                    std::vector<std::unique_ptr<router>>& routers,
-                                    std::size_t expected) {
+runtime::task<void> wait_until_all_count(ferryroad::test::loopback& loop,
+                                         std::vector<std::unique_ptr<router>>& routers,
+                                         std::size_t expected) {
     co_await loop.until([&] {
         bool all = true;
-        for (const auto& one : routers) {
-            all = all && one->count == expected;
+        for (const auto& each : routers) {
+            all = all && each->count == expected;
         }
         return all;
     });
@@ -91,26 +94,26 @@
 
 }  // namespace
 
-Test(presence, routers_count_each_other_and_forget_those_that_ended) {
+Test(presence, routers_count_each_other_and_drop_those_that_ended) {
     ferryroad::test::loopback loop;
-    rows_of_routers table;
+    fake_table table;
     std::vector<std::unique_ptr<router>> routers;
     for (const char* name : {"a", "b", "c"}) {
         routers.push_back(std::make_unique<router>(loop, table, name));
     }
-    cr_assert(loop.run([&] { return until_all_count(loop, routers, 3); }));
+    cr_assert(loop.run([&] { return wait_until_all_count(loop, routers, 3); }));
     const present_router third{base::router_name("c"), "at c"};
     cr_assert(std::count(routers[0]->last.begin(), routers[0]->last.end(), third) == 1);
     auto ended = std::move(routers.back());
     routers.pop_back();
     ended->here.stop();
     loop.context.restart();
-    cr_assert(loop.run([&] { return until_all_count(loop, routers, 2); }));
+    cr_assert(loop.run([&] { return wait_until_all_count(loop, routers, 2); }));
 }
 
-Test(presence, a_removed_row_counts_no_more) {
+Test(presence, a_removed_row_is_no_longer_counted) {
     ferryroad::test::loopback loop;
-    rows_of_routers table;
+    fake_table table;
     std::size_t count = 0;
     presence here(loop.scheduler, table, {base::router_name("a"), "at a"},
                   [&](const std::vector<present_router>& present) { count = present.size(); });
@@ -125,7 +128,7 @@
 
 Test(presence, many_routers_write_less_often) {
     ferryroad::test::loopback loop;
-    rows_of_routers table;
+    fake_table table;
     presence few(loop.scheduler, table, {base::router_name("a"), ""}, [](const auto&) {});
     cr_assert(few.period() == 10s);
     for (int number = 0; number < 400; ++number) {
@@ -136,10 +139,10 @@
     cr_assert(few.period() == 401 * 250ms);
 }
 
-Test(presence, a_first_write_that_is_refused_is_soon_tried_again) {
+Test(presence, a_rejected_first_write_is_retried_soon) {
     ferryroad::test::loopback loop;
-    rows_of_routers table;
-    table.refused_writes = 2;
+    fake_table table;
+    table.rejected_writes = 2;
     presence_settings settings;
     settings.first_retry = 2ms;
     presence here(
@@ -152,15 +155,15 @@
     here.stop();
 }
 
-Test(presence, a_row_names_its_router) {
+Test(presence, a_row_decodes_to_its_router) {
     const auto router = decode_presence("routers/a", "123 10.0.0.1:7000 z");
     cr_assert(*router == (present_router{base::router_name("a"), "10.0.0.1:7000 z"}));
     cr_assert_not(decode_presence("crash/a", "123 10.0.0.1:7000 z").has_value());
 }
 
-Test(presence, a_router_that_is_gone_is_removed_unless_it_has_written_again) {
+Test(presence, the_row_of_an_ended_router_is_removed_only_at_its_last_seen_version) {
     ferryroad::test::loopback loop;
-    rows_of_routers table;
+    fake_table table;
     presence here(loop.scheduler, table, {base::router_name("a"), "at a"}, [](const auto&) {});
     const platform::row_key other("routers/b");
     table.versions[other] = platform::row_version(7);
@@ -173,19 +176,19 @@
     cr_assert_eq(table.conditions.front().version.value, 5);
 }
 
-Test(presence, a_router_that_was_taken_for_gone_lists_itself_again) {
+Test(presence, a_router_whose_row_was_removed_writes_it_again) {
     ferryroad::test::loopback loop;
-    rows_of_routers table;
+    fake_table table;
     presence here(loop.scheduler, table, {base::router_name("a"), "at a"}, [](const auto&) {});
     here.start();
     const platform::row_key own("routers/a");
     const auto listed = [&] { return here.is_listed(); };
     cr_assert(loop.run([&] { return loop.until(listed); }));
     here.see({own, table.values[own], table.versions[own]});
-    const std::uint64_t before = table.last;
+    const std::uint64_t before = table.last_version;
     here.see({own, "", platform::row_version(0)});
     loop.context.restart();
-    const auto written = [&] { return table.last > before; };
+    const auto written = [&] { return table.last_version > before; };
     cr_assert(loop.run([&] { return loop.until(written); }));
     here.stop();
 }
