--- a/src/ferryroad/quotas/quota_service.hpp
+++ b/src/ferryroad/quotas/quota_service.hpp
@@ -33,8 +33,7 @@
 /// A verdict, and which router gave it.
 struct quota_decision {
     quota_verdict verdict;
-    base::router_name
-        counted_by;  ///< Empty if no home answered and this router's own share decided.
+    base::router_name counted_by;  ///< Empty if this router decided by its own share.
 };
 
 struct quota_counters {
--- a/src/ferryroad/router/configuration/configuration_service.cpp
+++ b/src/ferryroad/router/configuration/configuration_service.cpp
@@ -59,8 +59,8 @@
         const base::revision newest = replica_.heard();
         co_return configuration_error{configuration_error_code::revision_conflict,
                                       "revision " + std::to_string(held.value) +
-                                          " is held here, and the newest known revision is " +
-                                          std::to_string(newest.value),
+                                          " is held here, and revision " +
+                                          std::to_string(newest.value) + " is the newest known",
                                       {},
                                       newest};
     }
--- a/src/ferryroad/router/node.cpp
+++ b/src/ferryroad/router/node.cpp
@@ -32,9 +32,9 @@
 
 /// The members are in the order of construction: each depends only on those before it.
 struct node::services {
-    services(node_identity self, const node_options& options, const node_ports& ports)
+    services(node_identity own_identity, const node_options& options, const node_ports& ports)
         : scheduler(ports.scheduler),
-          identity(std::move(self)),
+          identity(std::move(own_identity)),
           dispatcher(ports.peers, identity.name, identity.process),
           membership({identity.name, identity.process, identity.zone, identity.region,
                       identity.peer_address},
