--- a/src/ferryroad/router/claim_registry.hpp
+++ b/src/ferryroad/router/claim_registry.hpp
@@ -19,8 +19,8 @@
     base::route_name route;
     base::idempotency_key key;
     base::attempt_id attempt;
-    std::string
-        content_sha256;  ///< Hash of the request body; reusing a key for another body is refused.
+    /// Hash of the request body; reusing a key for another body is refused.
+    std::string content_sha256;
 };
 
 /// Outcome of a claimed request, returned to callers that repeat its key.
--- a/src/ferryroad/router/configuration/control.hpp
+++ b/src/ferryroad/router/configuration/control.hpp
@@ -66,8 +66,8 @@
 
 struct confirm_outcome {
     base::revision revision;
-    bool by_table =
-        false;  ///< The table could be read, so the operator's confirmation was not needed.
+    /// The table could be read, so the operator's confirmation was not needed.
+    bool by_table = false;
 };
 
 /// A revision that has come into force at this router.
--- a/src/ferryroad/router/request_types.hpp
+++ b/src/ferryroad/router/request_types.hpp
@@ -17,17 +17,16 @@
 
 /// Why a request got no complete answer. Each value names its HTTP status.
 enum class refusal_code {
-    unauthorized,     ///< 401: the API key belongs to no tenant.
-    unknown_route,    ///< 404
-    unknown_model,    ///< 404
-    invalid_request,  ///< 400
-    prompt_too_long,  ///< 400: longer than the model's context.
-    over_limit,       ///< 429: over the tenant's rate limit.
-    key_in_use,       ///< 409: a request with this idempotency key is in progress, or had another
-                      ///< body.
-    overloaded,       ///< 503: no engine can meet the deadline.
-    no_engine,        ///< 503: the pool has no live engine.
-    not_ready,        ///< 503: this router's configuration is unconfirmed, or it is stopping.
+    unauthorized,          ///< 401: the API key belongs to no tenant.
+    unknown_route,         ///< 404
+    unknown_model,         ///< 404
+    invalid_request,       ///< 400
+    prompt_too_long,       ///< 400: longer than the model's context.
+    over_limit,            ///< 429: over the tenant's rate limit.
+    key_in_use,            ///< 409: the idempotency key is in use, or was used with another body.
+    overloaded,            ///< 503: no engine can meet the deadline.
+    no_engine,             ///< 503: the pool has no live engine.
+    not_ready,             ///< 503: this router's configuration is unconfirmed, or it is stopping.
     platform_unavailable,  ///< 503: a claim could not be recorded.
     deadline_exceeded,     ///< 504
     engine_failed,         ///< 502: all attempts failed.
