--- a/src/ferryroad/base/base64.cpp
+++ b/src/ferryroad/base/base64.cpp
@@ -15,7 +15,7 @@
     return reinterpret_cast<const unsigned char*>(text.data());
 }
 
-/// @return how many bytes of the last group are padding.
+/// @return the number of padding characters at the end of `text`.
 std::size_t padding_of(std::string_view text) {
     if (text.ends_with("==")) {
         return 2;
@@ -27,7 +27,7 @@
 
 std::string to_base64(std::string_view bytes) {
     const std::size_t groups = (bytes.size() + bytes_per_group - 1) / bytes_per_group;
-    // OpenSSL ends the text with a NUL of its own.
+    // EVP_EncodeBlock appends a NUL, which is removed below.
     std::string text(groups * digits_per_group + 1, '\0');
     EVP_EncodeBlock(reinterpret_cast<unsigned char*>(text.data()), unsigned_bytes(bytes),
                     static_cast<int>(bytes.size()));
--- a/src/ferryroad/base/base64.hpp
+++ b/src/ferryroad/base/base64.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Base64 by OpenSSL, for bytes inside text.
+/// Base64 encoding and decoding (OpenSSL).
 #pragma once
 
 #include <optional>
@@ -8,9 +8,10 @@
 
 namespace ferryroad::base {
 
+/// @return the padded Base64 encoding of `bytes`, without line breaks.
 std::string to_base64(std::string_view bytes);
 
-/// @return nothing where `text` is no base64 with padding.
+/// @return the decoded bytes; `nullopt` if `text` is not padded Base64.
 std::optional<std::string> from_base64(std::string_view text);
 
 }  // namespace ferryroad::base
--- a/src/ferryroad/base/digest.hpp
+++ b/src/ferryroad/base/digest.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// SHA-256 by OpenSSL.
+/// SHA-256 digests (OpenSSL).
 #pragma once
 
 #include <string>
--- a/src/ferryroad/base/endpoint.hpp
+++ b/src/ferryroad/base/endpoint.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Addresses: IP numbers only, never names (ferryroad asks no name service).
+/// Network endpoints. Only numeric IP addresses are supported: ferryroad does no DNS lookups.
 #pragma once
 
 #include <compare>
@@ -10,18 +10,18 @@
 
 namespace ferryroad::base {
 
-/// An IP number and a port, for TCP or UDP.
+/// A TCP or UDP endpoint: IP address and port.
 struct endpoint {
-    std::string address;  ///< IPv4 or IPv6 number, as text.
+    std::string address;  ///< IPv4 or IPv6 address in text form.
     std::uint16_t port = 0;
 
     // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads defaulted comparisons.
     friend auto operator<=>(const endpoint&, const endpoint&) = default;
     friend bool operator==(const endpoint&, const endpoint&) = default;
 
-    /// @return `address:port`, IPv6 numbers in brackets.
+    /// @return `address:port`, with IPv6 addresses in brackets.
     std::string to_string() const;
-    /// @return nothing where `text` is not an IP number and a port.
+    /// @return the endpoint; `nullopt` if `text` is not a numeric IP address and a port.
     static std::optional<endpoint> parse(std::string_view text);
 };
 
--- a/src/ferryroad/base/hash.hpp
+++ b/src/ferryroad/base/hash.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Hashing by xxHash (XXH3): stable between processes and machines.
+/// Non-cryptographic hashes (xxHash XXH3). Values are the same in all processes and on all
+/// machines.
 #pragma once
 
 #include <cstdint>
@@ -8,13 +9,13 @@
 
 namespace ferryroad::base {
 
-/// @return XXH3 of `bytes`, chained onto `seed`.
+/// @return the 64-bit XXH3 hash of `bytes` with `seed`; pass an earlier hash as `seed` to chain.
 std::uint64_t hash_bytes(std::string_view bytes, std::uint64_t seed = 0);
 
-/// @return XXH3 of two numbers, for chains and scores.
+/// @return the 64-bit XXH3 hash of two numbers, for hash chains and scores.
 std::uint64_t hash_pair(std::uint64_t first, std::uint64_t second);
 
-/// 128 bits: wide enough that different contents are not met with the same hash by chance.
+/// A 128-bit hash: wide enough that accidental collisions can be ruled out in practice.
 struct wide_hash {
     std::uint64_t high = 0;
     std::uint64_t low = 0;
@@ -25,11 +26,12 @@
     }
 };
 
-/// @return XXH3 (128 bits) of the fields' own hashes in order, so that bytes can't move from one
-/// field to the next unnoticed. Thread-safe.
+/// @return the 128-bit XXH3 hash of the hashes of the fields, in order. Hashing each field by
+/// itself makes {"ab", "c"} and {"a", "bc"} differ. Thread-safe.
 wide_hash hash_fields(std::initializer_list<std::string_view> fields);
 
-/// Score of `member` for `key` in rendezvous hashing: the highest score wins.
+/// @return the score of `member` for `key` in rendezvous hashing; the member with the highest score
+/// is chosen.
 std::uint64_t rendezvous_score(std::uint64_t key, std::string_view member);
 
 }  // namespace ferryroad::base
--- a/src/ferryroad/base/strong_id.hpp
+++ b/src/ferryroad/base/strong_id.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Strong typedefs: a tenant's name can't be passed where a route's is wanted.
+/// Strong typedefs: passing a tenant name where a route name is expected doesn't compile.
 #pragma once
 
 #include <compare>
@@ -11,7 +11,7 @@
 
 namespace ferryroad::base {
 
-/// A value of type `Rep` that only mixes with values of the same `Tag`.
+/// A value of type `Rep` that can only be compared with and assigned from ids of the same `Tag`.
 template <typename Tag, typename Rep>
 struct strong_id {
     using representation = Rep;
@@ -21,7 +21,7 @@
     strong_id() = default;
     explicit strong_id(Rep initial) : value(std::move(initial)) {}
 
-    // clang-tidy 14 takes the 0 in `(a <=> b) < 0` for a null pointer.
+    // clang-tidy 14 mistakes the 0 in `(a <=> b) < 0` for a null pointer.
     // NOLINTNEXTLINE(modernize-use-nullptr)
     friend auto operator<=>(const strong_id&, const strong_id&) = default;
     friend bool operator==(const strong_id&, const strong_id&) = default;
--- a/src/ferryroad/base/time.hpp
+++ b/src/ferryroad/base/time.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Time as a value. Decisions take `now` as an argument; only the runtime and the
-/// simulator hold a clock.
+/// Time points, durations and the clock interface. Decision code takes `now` as an argument; only
+/// the runtime and the simulator read a clock.
 #pragma once
 
 #include <chrono>
@@ -10,8 +10,8 @@
 
 using duration = std::chrono::nanoseconds;
 
-/// Tag of the process's clock (real or simulated): time since an arbitrary start that goes on while
-/// the machine is suspended. It has no now() of its own.
+/// Tag type of the process's monotonic clock (real or simulated): time since an arbitrary epoch,
+/// including time during which the machine is suspended. It has no now(); use `clock`.
 struct monotonic_clock {
     using rep = std::chrono::nanoseconds::rep;
     using period = std::chrono::nanoseconds::period;
@@ -20,15 +20,15 @@
     static constexpr bool is_steady = true;
 };
 
-/// A reading of one process's monotonic clock: never compared between processes.
+/// A time point of one process's monotonic clock; not comparable between processes.
 using monotonic_time = monotonic_clock::time_point;
 
-/// Reads time. Not thread-safe beyond concurrent reads; owned by the composition root,
-/// borrowed by everything else.
+/// Reads the time. Concurrent reads are safe, nothing else is. Owned by the composition root; users
+/// hold a reference.
 class clock {
   public:
     virtual ~clock() = default;
-    /// @return time since an arbitrary start; never falls.
+    /// @return the time since an arbitrary epoch; never decreases.
     virtual monotonic_time now() const = 0;
     /// @return milliseconds since the Unix epoch, for logs and stored records only.
     virtual std::int64_t unix_milliseconds() const = 0;
--- a/src/ferryroad/runtime/asio_scheduler.hpp
+++ b/src/ferryroad/runtime/asio_scheduler.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The daemon's scheduler: real time, one `io_context`.
+/// The scheduler of real processes: real time on one `io_context`.
 #pragma once
 
 #include "ferryroad/runtime/scheduler.hpp"
@@ -8,10 +8,11 @@
 
 namespace ferryroad::runtime {
 
-/// Scheduler on an `io_context` that the caller owns and runs from one thread.
+/// Scheduler on an `io_context` that the caller owns and runs in one thread.
 class asio_scheduler final : public scheduler {
   public:
-    /// @param context outlives the scheduler. @param seed of the random source.
+    /// @param context must outlive the scheduler.
+    /// @param seed seed of the random source.
     asio_scheduler(boost::asio::io_context& context, std::uint64_t seed);
 
     base::monotonic_time now() const override;
--- a/src/ferryroad/runtime/boot_clock.cpp
+++ b/src/ferryroad/runtime/boot_clock.cpp
@@ -5,9 +5,10 @@
 namespace ferryroad::runtime {
 
 boot_clock::time_point boot_clock::now() noexcept {
-    std::timespec told{};
-    clock_gettime(CLOCK_BOOTTIME, &told);  // Fails for unknown clocks alone.
-    return time_point(std::chrono::seconds(told.tv_sec) + std::chrono::nanoseconds(told.tv_nsec));
+    std::timespec reading{};
+    clock_gettime(CLOCK_BOOTTIME, &reading);  // Fails only for unknown clock ids.
+    return time_point(std::chrono::seconds(reading.tv_sec) +
+                      std::chrono::nanoseconds(reading.tv_nsec));
 }
 
 }  // namespace ferryroad::runtime
--- a/src/ferryroad/runtime/boot_clock.hpp
+++ b/src/ferryroad/runtime/boot_clock.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// Time since the machine's start, suspensions included, and Asio's timers on it. The steady clock
-/// stands still while a machine is suspended: all that was known before would seem as fresh after.
+/// A clock that counts the time since boot, including suspension, and Asio timers on it.
+/// std::chrono::steady_clock stops while the machine is suspended: after a resume, stale data would
+/// look as recent as before.
 #pragma once
 
 #include "ferryroad/base/time.hpp"
@@ -13,7 +14,7 @@
 
 namespace ferryroad::runtime {
 
-/// Meets the standard's requirements for a clock. Thread-safe.
+/// Meets the standard's Clock requirements. Thread-safe.
 struct boot_clock {
     using duration = base::duration;
     using rep = duration::rep;
@@ -24,23 +25,23 @@
     static time_point now() noexcept;
 };
 
-/// The system's timers don't count suspensions: the event loop waits no longer than this at a time
-/// before it asks the clock again, so that timers are no later than that as a machine wakes. Ten
-/// wake-ups a second and process.
-inline constexpr base::duration longest_timer_wait = std::chrono::milliseconds(100);
+/// Upper bound for one wait of the event loop before it reads the clock again. The system's timers
+/// don't count suspension, so this is also how late a timer may fire after a resume. Costs up to
+/// ten wake-ups per second and process.
+inline constexpr base::duration max_timer_wait = std::chrono::milliseconds(100);
 
-/// For deadlines, ages and pauses.
+/// Asio timer for deadlines, ages and delays that must include suspension.
 using boot_timer = boost::asio::basic_waitable_timer<boot_clock>;
 
 }  // namespace ferryroad::runtime
 
-/// How long Asio may wait before it looks at the clock again.
+/// Bounds how long Asio waits before it reads the clock again.
 template <>
 struct boost::asio::wait_traits<ferryroad::runtime::boot_clock> {
     using clock = ferryroad::runtime::boot_clock;
 
     static clock::duration to_wait_duration(const clock::duration& left) {
-        return std::min(left, ferryroad::runtime::longest_timer_wait);
+        return std::min(left, ferryroad::runtime::max_timer_wait);
     }
     static clock::duration to_wait_duration(const clock::time_point& when) {
         const clock::time_point now = clock::now();
--- a/src/ferryroad/runtime/bounded_output.cpp
+++ b/src/ferryroad/runtime/bounded_output.cpp
@@ -5,8 +5,9 @@
 
 namespace ferryroad::runtime {
 
-bounded_output::bounded_output(int descriptor, line_budget_settings budget, std::size_t most_kept)
-    : m_descriptor(descriptor), m_budget(budget), m_most_kept(most_kept) {
+bounded_output::bounded_output(int descriptor, line_budget_settings budget,
+                               std::size_t max_buffer_bytes)
+    : m_descriptor(descriptor), m_budget(budget), m_max_buffer_bytes(max_buffer_bytes) {
     const int flags = ::fcntl(descriptor, F_GETFL);
     if (flags >= 0) {
         ::fcntl(descriptor, F_SETFL, flags | O_NONBLOCK);
@@ -15,21 +16,21 @@
 
 void bounded_output::write(std::string_view line, bool is_warning, base::monotonic_time now) {
     if (m_budget.admit(is_warning, now)) {
-        tell_dropped();
+        report_dropped_lines();
         append(line);
     }
     flush();
 }
 
 void bounded_output::append(std::string_view line) {
-    if (m_waiting.size() + line.size() > m_most_kept) {
+    if (m_buffer.size() + line.size() > m_max_buffer_bytes) {
         m_budget.count_dropped();
         return;
     }
-    m_waiting.append(line);
+    m_buffer.append(line);
 }
 
-void bounded_output::tell_dropped() {
+void bounded_output::report_dropped_lines() {
     const std::uint64_t dropped = m_budget.take_dropped();
     if (dropped > 0) {
         append(
@@ -40,12 +41,12 @@
 }
 
 void bounded_output::flush() {
-    while (!m_waiting.empty()) {
-        const ::ssize_t written = ::write(m_descriptor, m_waiting.data(), m_waiting.size());
+    while (!m_buffer.empty()) {
+        const ::ssize_t written = ::write(m_descriptor, m_buffer.data(), m_buffer.size());
         if (written <= 0) {
-            return;  // The reader is slow or gone: later, or never.
+            return;  // The reader is slow or gone; the next flush tries again.
         }
-        m_waiting.erase(0, static_cast<std::size_t>(written));
+        m_buffer.erase(0, static_cast<std::size_t>(written));
     }
 }
 
--- a/src/ferryroad/runtime/cancellation.hpp
+++ b/src/ferryroad/runtime/cancellation.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Tells a coroutine that was cancelled from one that failed.
+/// Distinguishes cancelled coroutines from failed ones.
 #pragma once
 
 #include <boost/asio/error.hpp>
@@ -10,9 +10,10 @@
 
 namespace ferryroad::runtime {
 
-/// @param failure that ended a coroutine.
-/// @return whether it was cancelled (operation_aborted), alone or in both branches of `a || b`,
-/// which end in one exception for two. Thread-safe.
+/// @param failure exception that ended a coroutine.
+/// @return whether the coroutine was cancelled (operation_aborted). If both branches of `a || b`
+/// are cancelled, Asio throws one multiple_exceptions, which counts as a cancellation, too.
+/// Thread-safe.
 inline bool is_cancellation(const std::exception_ptr& failure) {
     try {
         std::rethrow_exception(failure);
--- a/src/ferryroad/runtime/event_loop.hpp
+++ b/src/ferryroad/runtime/event_loop.hpp
@@ -1,20 +1,20 @@
 /// @file
-/// The event loop of a process, which can end its coroutines before the objects that they use.
+/// The event loop of a process. It can destroy its coroutines before the objects that they use.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
 
 namespace ferryroad::runtime {
 
-/// Runs in one thread.
+/// An `io_context` that runs in one thread.
 class event_loop : public boost::asio::io_context {
   public:
     event_loop() : io_context(1) {}
 
-    /// Destroys the coroutines that are still suspended. To be called once, after `run` has
-    /// returned for good. Else they are destroyed with the loop, after all that was made after it:
-    /// a planned stop that outlasted its grace ended with a fault, as requests still under way took
-    /// themselves out of lists that were gone.
+    /// Destroys the coroutines that are still suspended. Call once, after `run` has returned for
+    /// the last time. Without this call they are destroyed with the loop, after every object that
+    /// was constructed later: a shutdown that exceeded its grace period would crash, as requests
+    /// in progress remove themselves from lists that are already destroyed.
     void finish() { shutdown(); }
 };
 
--- a/src/ferryroad/runtime/handled_signals.hpp
+++ b/src/ferryroad/runtime/handled_signals.hpp
@@ -1,6 +1,5 @@
 /// @file
-/// The signals that a router handles, for those that block and unblock them. Needs the C library
-/// alone.
+/// Blocks and unblocks the signals that a router handles. Depends on the C library only.
 #pragma once
 
 #include <csignal>
@@ -8,8 +7,8 @@
 
 namespace ferryroad::runtime {
 
-/// Blocks or unblocks SIGHUP, SIGINT and SIGTERM in the calling thread and in those it starts. A
-/// blocked signal is delivered once it is unblocked.
+/// Blocks or unblocks SIGHUP, SIGINT and SIGTERM in the calling thread and in threads that it
+/// starts afterwards. A signal that arrives while blocked is delivered when it is unblocked.
 /// @param how SIG_BLOCK or SIG_UNBLOCK.
 inline void change_signal_mask(int how) {
     sigset_t handled;
--- a/src/ferryroad/runtime/line_budget.hpp
+++ b/src/ferryroad/runtime/line_budget.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How many log lines a second may be written, with a part kept for those that matter most.
+/// Rate limit for log lines, with a part reserved for warnings and errors.
 #pragma once
 
 #include "ferryroad/base/time.hpp"
@@ -10,25 +10,26 @@
 namespace ferryroad::runtime {
 
 struct line_budget_settings {
-    std::uint32_t lines_a_second = 600;
-    /// Of these, lines that only warnings and errors may take.
-    std::uint32_t kept_for_warnings = 200;
+    /// Maximum number of lines in any one-second window.
+    std::uint32_t lines_per_second = 600;
+    /// Part of `lines_per_second` that is reserved for warnings and errors.
+    std::uint32_t reserved_for_warnings = 200;
 };
 
-/// Counts lines in whole seconds. Not thread-safe.
+/// Counts lines in fixed one-second windows. Not thread-safe.
 class line_budget {
   public:
     explicit line_budget(line_budget_settings settings) : m_settings(settings) {}
 
-    /// @return whether the line may be written; where not, it is counted as dropped.
+    /// @return whether the line may be written; if not, it is counted as dropped.
     bool admit(bool is_warning, base::monotonic_time now) {
-        if (now - m_second >= std::chrono::seconds(1)) {
-            m_second = now;
+        if (now - m_window_start >= std::chrono::seconds(1)) {
+            m_window_start = now;
             m_written = 0;
         }
         const std::uint32_t allowed =
-            is_warning ? m_settings.lines_a_second
-                       : m_settings.lines_a_second - m_settings.kept_for_warnings;
+            is_warning ? m_settings.lines_per_second
+                       : m_settings.lines_per_second - m_settings.reserved_for_warnings;
         if (m_written >= allowed) {
             ++m_dropped;
             return false;
@@ -36,13 +37,14 @@
         ++m_written;
         return true;
     }
+    /// Counts one line that was admitted, but dropped later.
     void count_dropped() { ++m_dropped; }
-    /// @return lines dropped since the last call.
+    /// @return the number of lines dropped since the last call; resets the count.
     std::uint64_t take_dropped() { return std::exchange(m_dropped, 0); }
 
   private:
     line_budget_settings m_settings;
-    base::monotonic_time m_second{};
+    base::monotonic_time m_window_start{};
     std::uint32_t m_written = 0;
     std::uint64_t m_dropped = 0;
 };
--- a/src/ferryroad/runtime/log.cpp
+++ b/src/ferryroad/runtime/log.cpp
@@ -22,10 +22,10 @@
 
 namespace appenders {
 
-// log4cxx's macros expect its names to be at hand.
+// log4cxx's macros use its names unqualified.
 using namespace log4cxx;  // NOLINT(google-build-using-namespace)
 
-/// log4cxx's way to a `bounded_output`. Appends are serialized by its base class.
+/// log4cxx appender that writes to a `bounded_output`. AppenderSkeleton serializes the appends.
 class bounded_appender final : public log4cxx::AppenderSkeleton {
   public:
     DECLARE_LOG4CXX_OBJECT(bounded_appender)
--- a/src/ferryroad/runtime/metrics.cpp
+++ b/src/ferryroad/runtime/metrics.cpp
@@ -26,7 +26,7 @@
     return native;
 }
 
-/// @return the family of that name, registered by `builder` where it is new.
+/// @return the family of that name; registers it with `builder` if it is new.
 template <typename Native, typename Builder>
 prometheus::Family<Native>& family_of(family_map<Native>& known, prometheus::Registry& registry,
                                       std::string_view name, std::string_view help,
--- a/src/ferryroad/runtime/metrics.hpp
+++ b/src/ferryroad/runtime/metrics.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Metrics for Prometheus. prometheus-cpp stays behind this header.
+/// Prometheus metrics. Hides prometheus-cpp from users of this header.
 #pragma once
 
 #include <initializer_list>
@@ -16,14 +16,15 @@
 
 namespace ferryroad::runtime {
 
-/// One fixed label of a metric, such as `{"route", name}`.
+/// A label of a metric with its value, such as `{"route", name}`.
 struct metric_label {
     std::string name;
     std::string value;
 };
 using metric_labels = std::vector<metric_label>;
 
-/// Only rises. Owned by its `metrics`; copies name the same counter.
+/// Handle of a monotonically increasing counter that its `metrics` owns. Copies refer to the same
+/// counter.
 class counter {
   public:
     explicit counter(prometheus::Counter& native) : native_(&native) {}
@@ -33,7 +34,7 @@
     prometheus::Counter* native_;
 };
 
-/// Rises and falls.
+/// Handle of a value that can go up and down. Copies refer to the same gauge.
 class gauge {
   public:
     explicit gauge(prometheus::Gauge& native) : native_(&native) {}
@@ -44,7 +45,7 @@
     prometheus::Gauge* native_;
 };
 
-/// Counts observations in buckets.
+/// Handle of a histogram, which counts observations in buckets. Copies refer to the same histogram.
 class histogram {
   public:
     explicit histogram(prometheus::Histogram& native) : native_(&native) {}
@@ -54,9 +55,9 @@
     prometheus::Histogram* native_;
 };
 
-/// A process's metrics. Thread-safe; outlives every metric taken from it. Asking again for a
-/// name with the same labels gives the same metric. Names begin with `ferryroad_`, counters
-/// end in `_total`, times are in seconds.
+/// Registry of a process's metrics. Thread-safe. Must outlive every handle that it returned. The
+/// same name with the same labels yields the same metric. Names begin with `ferryroad_`, those of
+/// counters end in `_total`, and times are in seconds.
 class metrics {
   public:
     metrics();
@@ -67,11 +68,12 @@
     counter counter_of(std::string_view name, std::string_view help,
                        const metric_labels& labels = {});
     gauge gauge_of(std::string_view name, std::string_view help, const metric_labels& labels = {});
-    /// @param bounds upper bounds of the buckets, rising; the same on each call for a name.
+    /// @param bounds upper bounds of the buckets in ascending order; must be the same on each call
+    /// for a name.
     histogram histogram_of(std::string_view name, std::string_view help,
                            const std::vector<double>& bounds, const metric_labels& labels = {});
 
-    /// @return everything in Prometheus's text format.
+    /// @return all metrics in the Prometheus text format.
     std::string to_text() const;
 
   private:
--- a/src/ferryroad/runtime/signal_delivery.hpp
+++ b/src/ferryroad/runtime/signal_delivery.hpp
@@ -1,14 +1,14 @@
 /// @file
-/// Delivery of the signals that a router handles. They are blocked from the process's first
-/// instruction (`launcher/launcher.cpp`) to its last, and delivered only while handlers are in
-/// place: the default action of each would end the process.
+/// Delivery of the signals that a router handles. They are blocked from the start of the process
+/// (`launcher/launcher.cpp`) to its end and delivered only while handlers are installed, as the
+/// default action of each would terminate the process.
 #pragma once
 
 namespace ferryroad::runtime {
 
-/// Unblocks the handled signals in the calling thread while it lives. Handlers of all of them are
-/// in place before it is made and after it has ended. A process may have been started with the
-/// signals blocked; that ends here, too. To be used in one thread, the event loop's.
+/// Scope guard that unblocks the handled signals in the calling thread. Precondition: handlers for
+/// all of them are installed before its construction and stay until after its destruction. Also
+/// unblocks signals that the parent process had blocked. Use it in the event loop's thread only.
 class signal_delivery {
   public:
     signal_delivery();
--- a/src/ferryroad/runtime/task.hpp
+++ b/src/ferryroad/runtime/task.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The one asynchronous style: C++20 coroutines on one event loop a process.
+/// Types of asynchronous code: C++20 coroutines on one event loop per process.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -7,12 +7,12 @@
 
 namespace ferryroad::runtime {
 
-/// A coroutine of the event loop. Started by `scheduler::spawn` or `co_await`.
+/// A coroutine on the event loop, started by `scheduler::spawn` or `co_await`.
 template <typename T>
 using task = boost::asio::awaitable<T>;
 
-/// Value or a layer's own typed error. LEAF's error objects don't survive a suspension, so
-/// asynchronous layers return this and synchronous ones `leaf::result`.
+/// A value or a typed error. LEAF's error objects don't survive the suspension of a coroutine, so
+/// asynchronous code returns this type and synchronous code `leaf::result`.
 template <typename T, typename Error>
 using result = boost::system::result<T, Error>;
 
--- a/test/base/endpoint_test.cpp
+++ b/test/base/endpoint_test.cpp
@@ -1,4 +1,4 @@
-/// Addresses are IP numbers and ports, and nothing else.
+/// Endpoints are parsed from a numeric IP address and a port; all other texts are rejected.
 #include "ferryroad/base/endpoint.hpp"
 
 #include <criterion/criterion.h>
--- a/test/runtime/boot_clock_test.cpp
+++ b/test/runtime/boot_clock_test.cpp
@@ -1,4 +1,5 @@
-/// Timers on the clock that goes on while a machine is suspended.
+/// Timers on the clock that includes suspension: each wait of the event loop is bounded, and timers
+/// still fire at their time and not at the end of such a wait.
 #include "ferryroad/runtime/boot_clock.hpp"
 
 #include <boost/asio/io_context.hpp>
@@ -10,19 +11,19 @@
 using namespace ferryroad::runtime;
 using namespace std::chrono_literals;
 
-Test(boot_clock, waits_for_the_event_loop_are_short_however_far_the_deadline) {
+Test(boot_clock, single_waits_are_bounded_for_any_deadline) {
     using traits = boost::asio::wait_traits<boot_clock>;
-    cr_assert(traits::to_wait_duration(boot_clock::duration(9s)) == longest_timer_wait);
+    cr_assert(traits::to_wait_duration(boot_clock::duration(9s)) == max_timer_wait);
     cr_assert(traits::to_wait_duration(boot_clock::duration(5ms)) == 5ms);
-    cr_assert(traits::to_wait_duration(boot_clock::now() + 1h) == longest_timer_wait);
+    cr_assert(traits::to_wait_duration(boot_clock::now() + 1h) == max_timer_wait);
     cr_assert(traits::to_wait_duration(boot_clock::now() - 1h) == 0ms);
-    cr_assert(traits::to_wait_duration(boot_clock::time_point::max()) == longest_timer_wait);
+    cr_assert(traits::to_wait_duration(boot_clock::time_point::max()) == max_timer_wait);
 }
 
-Test(boot_clock, a_timer_ends_at_its_time_and_not_at_the_end_of_a_short_wait) {
+Test(boot_clock, a_timer_fires_at_its_expiry_and_not_at_the_end_of_a_bounded_wait) {
     boost::asio::io_context context;
     boot_timer timer(context);
-    const boot_clock::time_point when = boot_clock::now() + 2 * longest_timer_wait + 30ms;
+    const boot_clock::time_point when = boot_clock::now() + 2 * max_timer_wait + 30ms;
     boot_clock::time_point ended{};
     timer.expires_at(when);
     timer.async_wait([&](const boost::system::error_code& failure) {
@@ -33,7 +34,7 @@
     cr_assert_geq(ended, when);
 }
 
-Test(boot_clock, a_timer_that_never_ends_is_cancelled) {
+Test(boot_clock, a_timer_without_expiry_can_be_cancelled) {
     boost::asio::io_context context;
     boot_timer never(context);
     bool cancelled = false;
--- a/test/runtime/bounded_output_test.cpp
+++ b/test/runtime/bounded_output_test.cpp
@@ -1,4 +1,5 @@
-/// Log lines stay within their budget, and a reader that stands still holds nobody up.
+/// Log lines stay within their rate limit, and a reader that stops reading neither blocks the
+/// writer nor lets the buffer grow over its limit.
 #include "ferryroad/runtime/bounded_output.hpp"
 
 #include "ferryroad/runtime/log.hpp"
@@ -34,7 +35,7 @@
 
 }  // namespace
 
-Test(line_budget, bounds_lines_a_second_and_keeps_a_part_for_warnings) {
+Test(line_budget, limits_lines_per_second_and_reserves_a_part_for_warnings) {
     line_budget budget({10, 4});
     int plain = 0;
     int warnings = 0;
@@ -51,7 +52,7 @@
     cr_assert(budget.admit(false, start + 1s));
 }
 
-Test(bounded_output, writes_lines_and_tells_what_was_dropped) {
+Test(bounded_output, writes_lines_and_reports_dropped_ones) {
     pipe_ends pipe;
     bounded_output output(pipe.ends[1], {2, 0}, 4096);
     for (const char* line : {"a\n", "b\n", "c\n", "d\n"}) {
@@ -64,15 +65,15 @@
     cr_assert_neq(text.find("\"lines\": \"2\""), std::string::npos);
 }
 
-Test(bounded_output, a_reader_that_stands_still_holds_nobody_up) {
+Test(bounded_output, a_reader_that_does_not_read_does_not_block_the_writer) {
     pipe_ends pipe;
     bounded_output output(pipe.ends[1], {1000000, 0}, 4096);
     const std::string line(1000, 'x');
-    for (int index = 0; index < 1000; ++index) {  // Far more than a pipe holds.
+    for (int index = 0; index < 1000; ++index) {  // Far more than the capacity of a pipe.
         output.write(line + "\n", true, start);
-        cr_assert_leq(output.waiting_bytes(), 4096);
+        cr_assert_leq(output.buffered_bytes(), 4096);
     }
-    while (output.waiting_bytes() > 0) {
+    while (output.buffered_bytes() > 0) {
         pipe.read_some();
         output.flush();
     }
@@ -83,12 +84,12 @@
     cr_assert_neq(text.find("lines dropped"), std::string::npos);
 }
 
-Test(bounded_output, a_reader_that_is_gone_holds_nobody_up) {
+Test(bounded_output, a_full_pipe_does_not_block_the_writer) {
     pipe_ends pipe;
     bounded_output output(pipe.ends[1], {1000, 0}, 64);
-    for (int index = 0; index < 100000 && output.waiting_bytes() == 0; ++index) {
+    for (int index = 0; index < 100000 && output.buffered_bytes() == 0; ++index) {
         output.write("0123456789\n", true, start + std::chrono::seconds(index));
     }
     output.write("more\n", true, start);
-    cr_assert_leq(output.waiting_bytes(), 64);
+    cr_assert_leq(output.buffered_bytes(), 64);
 }
--- a/test/runtime/cancellation_test.cpp
+++ b/test/runtime/cancellation_test.cpp
@@ -1,5 +1,5 @@
-/// Guards against errors in the log for coroutines that were cancelled while they waited for either
-/// of two operations.
+/// Guards against error entries in the log for cancelled coroutines: one that waits for either of
+/// two operations (`a || b`) ends with multiple_exceptions instead of operation_aborted.
 #include "ferryroad/runtime/cancellation.hpp"
 
 #include <boost/asio/bind_cancellation_slot.hpp>
@@ -32,7 +32,7 @@
     co_await (std::move(first) || std::move(second));
 }
 
-/// @return what ends a coroutine that is cancelled while it waits for either of two timers.
+/// @return the exception that ends a coroutine cancelled while it waits for either of two timers.
 std::exception_ptr cancelled_wait() {
     asio::io_context context;
     asio::steady_timer one(context, 1h);
@@ -50,12 +50,12 @@
 
 }  // namespace
 
-Test(cancellation, is_told_while_a_coroutine_waits_for_either_of_two) {
+Test(cancellation, is_detected_in_a_wait_for_either_of_two_operations) {
     const std::exception_ptr ended = cancelled_wait();
     cr_assert(ended != nullptr);
     cr_assert(runtime::is_cancellation(ended));
 }
 
-Test(cancellation, is_not_told_of_a_fault) {
+Test(cancellation, is_not_reported_for_other_exceptions) {
     cr_assert(!runtime::is_cancellation(std::make_exception_ptr(std::runtime_error("fault"))));
 }
