--- a/src/ferryroad/http/client.cpp
+++ b/src/ferryroad/http/client.cpp
@@ -16,12 +16,12 @@
 client::~client() = default;
 
 bool client::keeps_connection(const base::endpoint& address) const {
-    return state_->pool->keeps(address);
+    return state_->pool->has_idle_connection(address);
 }
 
 runtime::task<bool> client::is_refused(base::endpoint address) {
     const std::shared_ptr<connection> link = state_->pool->make();
-    link->set_limit(state_->pool->limits().connect);
+    link->set_timeout(state_->pool->limits().connect);
     const boost::system::error_code failure = co_await link->connect(address);
     link->throw_if_cancelled(failure);
     const bool refused = failure == boost::asio::error::connection_refused;
@@ -36,8 +36,8 @@
 
 runtime::task<result<response>> client::fetch(const base::endpoint& address, request message,
                                               fetch_options options, resend again) {
-    exchange_order order{address, std::move(message), options.first, again};
-    return fetch_answer(state_->pool, std::move(order), std::move(options));
+    exchange_parameters parameters{address, std::move(message), options.first, again};
+    return fetch_answer(state_->pool, std::move(parameters), std::move(options));
 }
 
 runtime::task<result<std::unique_ptr<response_stream>>> client::open(const base::endpoint& address,
@@ -50,8 +50,8 @@
 runtime::task<result<std::unique_ptr<byte_stream>>> client::relay(const base::endpoint& address,
                                                                   request message,
                                                                   relay_options options) {
-    exchange_order order{address, std::move(message), options.limit, resend::forbidden};
-    return open_relay(state_->pool, std::move(order), std::move(options));
+    exchange_parameters parameters{address, std::move(message), options.limit, resend::forbidden};
+    return open_relay(state_->pool, std::move(parameters), std::move(options));
 }
 
 }  // namespace ferryroad::http
--- a/src/ferryroad/http/client.hpp
+++ b/src/ferryroad/http/client.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// HTTP/1.1 client (Beast inside) with a pool of connections for each address. A connection
-/// goes back to the pool only after its answer was read whole, so that no answer can reach
-/// another request.
+/// HTTP/1.1 client (Beast) with a connection pool per address. A connection returns to the pool
+/// only after its response was read completely, so that no response can be delivered to another
+/// request.
 #pragma once
 
 #include "ferryroad/base/endpoint.hpp"
@@ -21,70 +21,78 @@
 template <typename T>
 using result = runtime::result<T, error>;
 
-/// A streamed answer's body, read line by line. Destroying it early closes the connection.
+/// The body of a streamed response, read line by line. Destroying the object before the end of the
+/// body closes the connection.
 class response_stream {
   public:
     virtual ~response_stream() = default;
     virtual unsigned status() const = 0;
     virtual const header_list& headers() const = 0;
-    /// @return the next line without its line end; nothing at the body's proper end. A body
-    /// that ends without its final chunk is `connection_lost`; a half line is never returned.
-    /// @param limit for this line to come; over it: `timed_out`.
+    /// @return the next line without its line end; `nullopt` at the regular end of the body. A body
+    /// that ends without its final chunk gives `connection_lost`; an incomplete line is never
+    /// returned.
+    /// @param limit time for this line to arrive; `timed_out` if it is exceeded.
     virtual runtime::task<result<std::optional<std::string>>> next_line(base::duration limit) = 0;
-    /// @return all of the rest of the body, for answers that are no stream (error bodies).
+    /// @return the whole rest of the body, for responses that aren't streams (error bodies).
+    /// @param limit time for all of it to arrive; `timed_out` if it is exceeded.
     virtual runtime::task<result<std::string>> read_rest(base::duration limit) = 0;
 };
 
-/// An answer's body as it comes. Destroying it early closes the connection. Used from the event
-/// loop's thread.
+/// The body of a response, read in blocks as they arrive. Destroying the object before the end of
+/// the body closes the connection. Use it from the event loop's thread only.
 class byte_stream {
   public:
     virtual ~byte_stream() = default;
     virtual unsigned status() const = 0;
     virtual const header_list& headers() const = 0;
-    /// @return the next bytes, at least one; nothing at the body's proper end. A body without a
-    /// length or chunks ends properly where the other side closes without a reset.
-    /// @param limit for some bytes to come; over it: `timed_out`.
+    /// @return the next bytes, at least one; `nullopt` at the regular end of the body. A body that
+    /// has neither a length nor chunks ends regularly when the peer closes without a reset.
+    /// @param limit time for the next bytes to arrive; `timed_out` if it is exceeded.
     virtual runtime::task<result<std::optional<std::string>>> next(base::duration limit) = 0;
 };
 
+/// Timeouts and size limits of a client.
 struct client_limits {
-    base::duration connect = std::chrono::seconds(1);
+    base::duration connect = std::chrono::seconds(1);  ///< Timeout for opening a connection.
     std::size_t body_bytes = std::size_t{64} * 1024 * 1024;
     std::size_t line_bytes = std::size_t{1024} * 1024;
     std::size_t idle_connections_per_address = 32;
-    base::duration idle = std::chrono::seconds(20);  ///< Below servers' own limit.
+    /// How long an idle connection is kept; shorter than the servers' own idle timeout.
+    base::duration idle = std::chrono::seconds(20);
 };
 
-/// A request on a pooled connection that proves dead before any byte of an answer is sent
-/// again on a fresh connection only if `idempotent` says so; else it is `connection_lost`.
+/// Whether a request may be sent again on a new connection if its pooled connection turns out to be
+/// closed before any byte of a response. If forbidden, the request fails with `connection_lost`.
 enum class resend { allowed, forbidden };
 
+/// Options of `client::relay`.
 struct relay_options {
-    base::duration limit{};  ///< Until the answer's headers have come.
-    /// Header that every answer to this request repeats. An answer with another value belongs
-    /// to an earlier request of the connection: it is skipped, and the connection not used again.
+    base::duration limit{};  ///< Time until the response headers have arrived.
+    /// Request header that every response to this request echoes. A response with another value
+    /// belongs to an earlier request on the connection: it is skipped, and the connection is not
+    /// reused.
     std::optional<header> echoed;
-    bool fresh_connection = false;
-    /// Asked once the connection is there, right before the first byte is written, where it is set:
-    /// opening a connection takes a while, and longer where the process stands still. May change
-    /// the headers. @return whether the request is still to be sent; otherwise it ends as
-    /// `withheld`.
+    bool fresh_connection = false;  ///< Opens a new connection instead of taking an idle one.
+    /// If set, called once the connection is open, right before the first byte is written: opening
+    /// a connection takes time, and more if the process was suspended meanwhile, so that the reason
+    /// for sending may have ended. May change the headers. @return whether to send the request; if
+    /// not, it fails with `withheld`.
     std::function<bool(header_list&)> last_look;
 };
 
-/// How long the answer to a `fetch` is waited for, and who is told that it is large.
+/// Timeouts of `client::fetch`, and a callback for large responses.
 struct fetch_options {
-    base::duration first{};    ///< Until the answer's headers have come.
-    base::duration pause{};    ///< Without any more of the body.
-    base::duration longest{};  ///< For the whole exchange, however steadily it goes on.
-    /// Called once, as soon as so many bytes of the body have come; not for a smaller one.
+    base::duration first{};    ///< Time until the response headers have arrived.
+    base::duration pause{};    ///< Longest pause between two parts of the body.
+    base::duration longest{};  ///< For the whole exchange, even if data keeps arriving.
+    /// Body size from which `is_large` is called: once, as soon as that many bytes have arrived.
     std::size_t large_bytes = 0;
     std::function<void()> is_large;
 };
 
-/// Used from the event loop's thread; outlives its streams. Cancelling a coroutine in one of
-/// the calls closes the connection and throws boost::system::system_error (operation_aborted).
+/// Use it from the event loop's thread only; it must outlive its streams. Cancelling a coroutine in
+/// one of the calls closes the connection and throws boost::system::system_error
+/// (operation_aborted).
 class client {
   public:
     client(runtime::scheduler& scheduler, client_limits limits);
@@ -92,24 +100,29 @@
     client(const client&) = delete;
     client& operator=(const client&) = delete;
 
-    /// @return whether an idle connection to the address is kept, so that none need be opened.
+    /// @return whether the pool holds an idle connection to the address, so that a request probably
+    /// doesn't have to open one.
     bool keeps_connection(const base::endpoint& address) const;
-    /// Opens a connection and closes it. @return whether the machine answered that nothing listens
-    /// at the address; not where no answer came in the limit for connecting.
+    /// Opens a connection and closes it. @return whether the connection was refused, that is,
+    /// nothing listens at the address; false for a timeout or any other error.
     runtime::task<bool> is_refused(base::endpoint address);
-    /// @param limit for the whole exchange.
+    /// Sends a request and reads the whole response.
+    /// @param limit time for the whole exchange.
     runtime::task<result<response>> send(const base::endpoint& address, request message,
                                          base::duration limit, resend again);
-    /// As `send`, for answers whose size isn't known: goes on for as long as more of it comes.
+    /// Like `send`, for responses of unknown size: reads on as long as more data arrives within the
+    /// timeouts of `options`.
     runtime::task<result<response>> fetch(const base::endpoint& address, request message,
                                           fetch_options options, resend again);
-    /// @param limit until the answer's headers have come.
+    /// Sends a request and returns the response as a stream of lines.
+    /// @param limit time until the response headers have arrived.
     runtime::task<result<std::unique_ptr<response_stream>>> open(const base::endpoint& address,
                                                                  request message,
                                                                  base::duration limit,
                                                                  resend again);
-    /// Sends a request and passes its answer on as it comes, an early one (before the whole
-    /// request was sent) and one without a length included. Never sends twice.
+    /// Sends a request and returns the response as a stream of bytes. Also accepts a response that
+    /// arrives before the whole request was sent, and one that has neither a length nor chunks.
+    /// Never sends the request twice.
     runtime::task<result<std::unique_ptr<byte_stream>>> relay(const base::endpoint& address,
                                                               request message,
                                                               relay_options options);
--- a/src/ferryroad/http/client_exchange.cpp
+++ b/src/ferryroad/http/client_exchange.cpp
@@ -17,51 +17,51 @@
 
 constexpr std::size_t answer_header_bytes = std::size_t{64} * 1024;
 
-/// An exchange whose answer's headers have come.
+/// An exchange whose response headers have arrived.
 using started_exchange = result<std::unique_ptr<exchange>>;
 
-/// @return whether a try may be followed by one on a fresh connection: the first one used a
-/// pooled connection that proved dead before any byte of an answer.
-bool may_send_again(exchange& tried, const error& reason, resend again) {
-    return tried.is_reused() && again == resend::allowed && !tried.decoder().started() &&
-           reason.code == error_code::connection_lost;
+/// @return whether the request may be sent again on a new connection: resending is allowed, and the
+/// attempt used a pooled connection that was lost before any byte of a response.
+bool may_resend(exchange& failed_attempt, const error& reason, resend again) {
+    return failed_attempt.is_reused() && again == resend::allowed &&
+           !failed_attempt.decoder().started() && reason.code == error_code::connection_lost;
 }
 
-result<std::string> head_to_send(const exchange_order& order) {
+result<std::string> encode_request_head(const exchange_parameters& parameters) {
     try {
-        return encode_head(order.message, order.address.to_string());
+        return encode_head(parameters.message, parameters.address.to_string());
     } catch (const std::invalid_argument& fault) {
         return error{error_code::malformed, fault.what()};
     }
 }
 
 runtime::task<started_exchange> start_exchange(std::shared_ptr<connection_pool> pool,
-                                               exchange_order order,
+                                               exchange_parameters parameters,
                                                std::optional<std::size_t> body_bytes) {
-    const base::monotonic_time deadline = pool->scheduler().now() + order.limit;
+    const base::monotonic_time deadline = pool->scheduler().now() + parameters.limit;
     const response_decoder::limits limits{answer_header_bytes, body_bytes};
-    const auto head = head_to_send(order);
+    const auto head = encode_request_head(parameters);
     if (!head) {
         co_return head.error();
     }
     for (bool fresh = false;; fresh = true) {
-        auto attempt =
-            std::make_unique<exchange>(pool, order.address, limits, order.message.method == "HEAD");
+        auto attempt = std::make_unique<exchange>(pool, parameters.address, limits,
+                                                  parameters.message.method == "HEAD");
         const auto connected = co_await attempt->connect(fresh, deadline);
         if (!connected) {
             co_return connected.error();
         }
-        const auto started = co_await attempt->start(*head, order.message.body, deadline);
+        const auto started = co_await attempt->start(*head, parameters.message.body, deadline);
         if (started) {
             co_return started_exchange(std::move(attempt));
         }
-        if (!may_send_again(*attempt, started.error(), order.again)) {
+        if (!may_resend(*attempt, started.error(), parameters.again)) {
             co_return started.error();
         }
     }
 }
 
-response head_of(exchange& answered) {
+response response_head_of(exchange& answered) {
     response answer;
     answer.status = answered.decoder().status();
     answer.headers = answered.decoder().headers();
@@ -87,7 +87,7 @@
         co_return result<void>();
     }
     link_ = pool_->make();
-    link_->set_limit(std::min(time_left(deadline), pool_->limits().connect));
+    link_->set_timeout(std::min(time_left(deadline), pool_->limits().connect));
     const boost::system::error_code failure = co_await link_->connect(address_);
     link_->throw_if_cancelled(failure);
     if (failure || link_->is_expired()) {
@@ -95,13 +95,13 @@
         co_return fail({error_code::connect_failed,
                         "no connection to " + address_.to_string() + ": " + reason});
     }
-    link_->lift_limit();
+    link_->clear_timeout();
     co_return result<void>();
 }
 
 runtime::task<result<void>> exchange::start(const std::string& head, const std::string& body,
                                             base::monotonic_time deadline) {
-    link_->set_limit(time_left(deadline));
+    link_->set_timeout(time_left(deadline));
     if (relayed_) {
         const auto answered = co_await write_and_read_head(head, body);
         if (!answered) {
@@ -111,7 +111,7 @@
         const boost::system::error_code failure =
             co_await link_->write(head, body, base::duration::zero());
         if (failure) {
-            co_return fail(fault(failure));
+            co_return fail(to_error(failure));
         }
         const auto answered = co_await read_head();
         if (!answered) {
@@ -119,14 +119,14 @@
         }
     }
     if (failure_) {
-        co_return result<void>();  // Told by the body's reads.
+        co_return result<void>();  // Reported by the reads of the body.
     }
     if (decoder_.is_unbounded() && !relayed_) {
         co_return fail({error_code::malformed,
-                        "the answer has neither a length nor chunks: its end can't be told "
-                        "from a cut"});
+                        "response has neither Content-Length nor chunked encoding: its end "
+                        "can't be distinguished from a lost connection"});
     }
-    link_->lift_limit();
+    link_->clear_timeout();
     finish();
     co_return result<void>();
 }
@@ -136,13 +136,13 @@
     auto first = co_await (link_->write(std::move(head), std::move(body), base::duration::zero()) ||
                            read_head());
     if (first.index() == 1) {
-        reusable_ = false;  // The rest of the request will never be sent.
+        reusable_ = false;  // The rest of the request is never sent.
         co_return std::get<1>(first);
     }
     const boost::system::error_code failure = std::get<0>(first);
     link_->throw_if_cancelled(failure);
     if (failure) {
-        reusable_ = false;  // An early answer may have come before the connection broke.
+        reusable_ = false;  // An early response may have arrived before the connection was lost.
     }
     if (failure_) {
         co_return *failure_;
@@ -152,32 +152,32 @@
 
 runtime::task<result<void>> exchange::read_head() {
     for (;;) {
-        if (decoder_.headers_complete() && !is_foreign()) {
+        if (decoder_.headers_complete() && !answers_other_request()) {
             co_return result<void>();
         }
-        const bool more_needed = !skip_foreign();
+        const bool more_needed = !skip_other_response();
         if (more_needed) {
             const boost::system::error_code failure = co_await link_->read_more();
             if (failure) {
-                co_return fail(fault(failure));
+                co_return fail(to_error(failure));
             }
         }
         const auto decoded = decode();
         if (!decoded) {
             const result<void> failed = fail(decoded.error());
-            // A fault in the body is told by the body's reads, after what came before it.
-            const bool head_is_whole = decoder_.headers_complete() && !is_foreign();
+            // An error in the body is reported by the reads of the body, after the bytes before it.
+            const bool head_is_whole = decoder_.headers_complete() && !answers_other_request();
             co_return head_is_whole ? result<void>() : failed;
         }
     }
 }
 
-void exchange::relay_with(std::optional<header> echoed) {
+void exchange::enable_relay_mode(std::optional<header> echoed) {
     relayed_ = true;
     echoed_ = std::move(echoed);
 }
 
-bool exchange::is_foreign() const {
+bool exchange::answers_other_request() const {
     if (!echoed_) {
         return false;
     }
@@ -186,7 +186,7 @@
     return value && *value != echoed_->value;
 }
 
-bool exchange::skip_foreign() {
+bool exchange::skip_other_response() {
     if (!decoder_.headers_complete()) {
         return false;
     }
@@ -203,7 +203,7 @@
     if (failure_) {
         co_return *failure_;
     }
-    link_->set_limit(time_left(deadline));
+    link_->set_timeout(time_left(deadline));
     const boost::system::error_code failure = co_await link_->read_more();
     if (failure == boost::asio::error::eof && relayed_ && decoder_.is_unbounded()) {
         decoder_.finish();
@@ -211,9 +211,9 @@
         co_return result<void>();
     }
     if (failure) {
-        co_return fail(fault(failure));
+        co_return fail(to_error(failure));
     }
-    link_->lift_limit();
+    link_->clear_timeout();
     const auto decoded = decode();
     if (!decoded) {
         co_return fail(decoded.error());
@@ -247,19 +247,20 @@
         case decode_state::complete:
             return {};
         case decode_state::headers_too_large:
-            return error{error_code::too_large, "the answer's headers are too large"};
+            return error{error_code::too_large, "response headers exceed the size limit"};
         case decode_state::body_too_large:
-            return error{error_code::too_large, "the answer's body is too large"};
+            return error{error_code::too_large, "response body exceeds the size limit"};
         case decode_state::malformed:
             break;
     }
-    return error{error_code::malformed, "the answer is not HTTP/1.1"};
+    return error{error_code::malformed, "response is not valid HTTP/1.1"};
 }
 
-error exchange::fault(const boost::system::error_code& failure) const {
+error exchange::to_error(const boost::system::error_code& failure) const {
     link_->throw_if_cancelled(failure);
     if (link_->is_expired()) {
-        return {error_code::timed_out, "no whole answer in time from " + address_.to_string()};
+        return {error_code::timed_out,
+                "no complete response from " + address_.to_string() + " before the deadline"};
     }
     return {error_code::connection_lost,
             "connection to " + address_.to_string() + " lost: " + failure.message()};
@@ -271,7 +272,7 @@
     return *failure_;
 }
 
-std::optional<base::duration> exchange::idle_hint() const {
+std::optional<base::duration> exchange::announced_idle_timeout() const {
     constexpr std::string_view parameter = "timeout=";
     const header_list headers = decoder_.headers();
     const auto value = headers.find("Keep-Alive");
@@ -293,7 +294,7 @@
         return;
     }
     if (decoder_.keep_alive() && reusable_) {
-        pool_->put_back(address_, std::move(link_), idle_hint());
+        pool_->put_back(address_, std::move(link_), announced_idle_timeout());
     } else {
         link_->close();
     }
@@ -301,10 +302,10 @@
 }
 
 runtime::task<result<response>> send_request(std::shared_ptr<connection_pool> pool,
-                                             exchange_order order) {
-    const base::monotonic_time deadline = pool->scheduler().now() + order.limit;
+                                             exchange_parameters parameters) {
+    const base::monotonic_time deadline = pool->scheduler().now() + parameters.limit;
     const std::size_t body_bytes = pool->limits().body_bytes;
-    auto started = co_await start_exchange(pool, std::move(order), body_bytes);
+    auto started = co_await start_exchange(pool, std::move(parameters), body_bytes);
     if (!started) {
         co_return started.error();
     }
@@ -313,26 +314,27 @@
     if (!read) {
         co_return read.error();
     }
-    response answer = head_of(current);
+    response answer = response_head_of(current);
     answer.body = current.decoder().take_body();
     co_return answer;
 }
 
 runtime::task<result<response>> fetch_answer(std::shared_ptr<connection_pool> pool,
-                                             exchange_order order, fetch_options options) {
+                                             exchange_parameters parameters,
+                                             fetch_options options) {
     const base::monotonic_time deadline = pool->scheduler().now() + options.longest;
     const std::size_t body_bytes = pool->limits().body_bytes;
-    auto started = co_await start_exchange(pool, std::move(order), body_bytes);
+    auto started = co_await start_exchange(pool, std::move(parameters), body_bytes);
     if (!started) {
         co_return started.error();
     }
     exchange& current = **started;
-    response answer = head_of(current);
+    response answer = response_head_of(current);
     answer.body = current.decoder().take_body();
-    bool told = false;
+    bool large_reported = false;
     for (;;) {
-        if (!told && options.is_large && answer.body.size() >= options.large_bytes) {
-            told = true;
+        if (!large_reported && options.is_large && answer.body.size() >= options.large_bytes) {
+            large_reported = true;
             options.is_large();
         }
         if (current.is_complete()) {
@@ -348,8 +350,8 @@
 }
 
 runtime::task<result<std::unique_ptr<response_stream>>> open_stream(
-    std::shared_ptr<connection_pool> pool, exchange_order order) {
-    auto started = co_await start_exchange(pool, std::move(order), std::nullopt);
+    std::shared_ptr<connection_pool> pool, exchange_parameters parameters) {
+    auto started = co_await start_exchange(pool, std::move(parameters), std::nullopt);
     if (!started) {
         co_return started.error();
     }
@@ -360,24 +362,24 @@
 }
 
 runtime::task<result<std::unique_ptr<byte_stream>>> open_relay(
-    std::shared_ptr<connection_pool> pool, exchange_order order, relay_options options) {
-    const base::monotonic_time deadline = pool->scheduler().now() + order.limit;
+    std::shared_ptr<connection_pool> pool, exchange_parameters parameters, relay_options options) {
+    const base::monotonic_time deadline = pool->scheduler().now() + parameters.limit;
     const response_decoder::limits limits{answer_header_bytes, std::nullopt};
-    auto attempt =
-        std::make_unique<exchange>(pool, order.address, limits, order.message.method == "HEAD");
-    attempt->relay_with(std::move(options.echoed));
+    auto attempt = std::make_unique<exchange>(pool, parameters.address, limits,
+                                              parameters.message.method == "HEAD");
+    attempt->enable_relay_mode(std::move(options.echoed));
     const auto connected = co_await attempt->connect(options.fresh_connection, deadline);
     if (!connected) {
         co_return connected.error();
     }
-    if (options.last_look && !options.last_look(order.message.headers)) {
-        co_return error{error_code::withheld, "not sent: what it stood on had ended"};
+    if (options.last_look && !options.last_look(parameters.message.headers)) {
+        co_return error{error_code::withheld, "request not sent: its preconditions no longer hold"};
     }
-    const auto head = head_to_send(order);
+    const auto head = encode_request_head(parameters);
     if (!head) {
         co_return head.error();
     }
-    const auto started = co_await attempt->start(*head, order.message.body, deadline);
+    const auto started = co_await attempt->start(*head, parameters.message.body, deadline);
     if (!started) {
         co_return started.error();
     }
--- a/src/ferryroad/http/client_exchange.hpp
+++ b/src/ferryroad/http/client_exchange.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One request and its answer on a connection of the pool. Internal to this folder.
+/// One request and its response on a pooled connection. Internal to this folder.
 #pragma once
 
 #include "ferryroad/http/codec.hpp"
@@ -7,47 +7,57 @@
 
 namespace ferryroad::http {
 
-/// What the caller asked for.
-struct exchange_order {
+/// The parameters of one request.
+struct exchange_parameters {
     base::endpoint address;
     request message;
     base::duration limit;
     resend again;
 };
 
+/// Implements `client::send`.
 runtime::task<result<response>> send_request(std::shared_ptr<connection_pool> pool,
-                                             exchange_order order);
+                                             exchange_parameters parameters);
+/// Implements `client::fetch`.
 runtime::task<result<response>> fetch_answer(std::shared_ptr<connection_pool> pool,
-                                             exchange_order order, fetch_options options);
+                                             exchange_parameters parameters, fetch_options options);
+/// Implements `client::open`.
 runtime::task<result<std::unique_ptr<response_stream>>> open_stream(
-    std::shared_ptr<connection_pool> pool, exchange_order order);
+    std::shared_ptr<connection_pool> pool, exchange_parameters parameters);
 
+/// Implements `client::relay`.
 runtime::task<result<std::unique_ptr<byte_stream>>> open_relay(
-    std::shared_ptr<connection_pool> pool, exchange_order order, relay_options options);
+    std::shared_ptr<connection_pool> pool, exchange_parameters parameters, relay_options options);
 
-/// One try on one connection. Closes the connection unless the answer was read whole.
+/// One attempt on one connection. The destructor closes the connection unless the response was read
+/// completely.
 class exchange {
   public:
+    /// @param answers_head whether the request method is HEAD, whose response has no body.
     exchange(std::shared_ptr<connection_pool> pool, base::endpoint address,
              response_decoder::limits limits, bool answers_head);
     ~exchange();
     exchange(const exchange&) = delete;
     exchange& operator=(const exchange&) = delete;
 
-    /// Before `start`: what makes this exchange one of `client::relay`.
-    void relay_with(std::optional<header> echoed);
+    /// Selects the behaviour of `client::relay`. Call it before `start`.
+    /// @param echoed see `relay_options`.
+    void enable_relay_mode(std::optional<header> echoed);
 
-    /// Takes an idle connection, or connects within the pool's limit and by `deadline`.
+    /// Takes an idle connection from the pool, or opens one within the pool's connect timeout and
+    /// before `deadline`.
+    /// @param fresh always open a new connection.
     runtime::task<result<void>> connect(bool fresh, base::monotonic_time deadline);
+    /// @return whether the connection was taken from the pool.
     bool is_reused() const { return reused_; }
-    /// Sends the request and reads on until the headers have come.
+    /// Sends the request and reads until the response headers are complete.
     runtime::task<result<void>> start(const std::string& head, const std::string& body,
                                       base::monotonic_time deadline);
-    /// Reads some more of the body. Only while not `is_complete`.
+    /// Reads the next part of the body. Precondition: not `is_complete`.
     runtime::task<result<void>> read_some(base::monotonic_time deadline);
-    /// Reads all of the body.
+    /// Reads the rest of the body.
     runtime::task<result<void>> read_all(base::monotonic_time deadline);
-    /// @return the deadline of something that may take `limit` from now on.
+    /// @return the time `limit` from now.
     base::monotonic_time deadline_after(base::duration limit) const;
 
     bool is_complete() const { return decoder_.state() == decode_state::complete; }
@@ -55,23 +65,27 @@
 
   private:
     base::duration time_left(base::monotonic_time deadline) const;
-    /// Writes the request while the answer's head is awaited, for it may come early.
+    /// Writes the request and reads the response head at the same time, as the server may respond
+    /// before it has read the whole request.
     runtime::task<result<void>> write_and_read_head(std::string head, std::string body);
-    /// Reads until the head of the answer to this request has come.
+    /// Reads until the head of the response to this request is complete.
     runtime::task<result<void>> read_head();
-    /// @return whether the head just read answers another request.
-    bool is_foreign() const;
-    /// Consumes the answer to another request as far as it has come.
-    /// @return whether bytes that follow it wait to be decoded.
-    bool skip_foreign();
-    /// @return how long the other side keeps the connection idle, where it says so.
-    std::optional<base::duration> idle_hint() const;
-    /// Feeds what was received. @return the decoder's fault, if any.
+    /// @return whether the response head just read belongs to an earlier request: it echoes another
+    /// value of the header in `echoed_`.
+    bool answers_other_request() const;
+    /// Discards the received part of the response to an earlier request.
+    /// @return whether bytes that follow it are waiting to be decoded.
+    bool skip_other_response();
+    /// @return the server's idle timeout from the Keep-Alive header, if it sent one.
+    std::optional<base::duration> announced_idle_timeout() const;
+    /// Decodes the received bytes. @return the decoder's error, if any.
     result<void> decode();
-    /// @throws boost::system::system_error where the caller was cancelled.
-    error fault(const boost::system::error_code& failure) const;
+    /// @return the error to report for a failed read or write.
+    /// @throws boost::system::system_error if the calling coroutine was cancelled.
+    error to_error(const boost::system::error_code& failure) const;
+    /// Closes the connection and stores `reason` for later reads. @return `reason`.
     result<void> fail(error reason);
-    /// Gives the connection back once the answer is complete.
+    /// Once the response is complete, returns the connection to the pool or closes it.
     void finish();
 
     std::shared_ptr<connection_pool> pool_;
@@ -81,7 +95,8 @@
     std::optional<error> failure_;
     std::optional<header> echoed_;
     bool relayed_ = false;
-    bool reusable_ = true;  ///< As far as is known beside what the answer says.
+    /// Whether the connection may be reused, apart from what the response says about keep-alive.
+    bool reusable_ = true;
     bool reused_ = false;
 };
 
--- a/src/ferryroad/http/codec.cpp
+++ b/src/ferryroad/http/codec.cpp
@@ -31,7 +31,7 @@
     return decode_state::malformed;
 }
 
-/// Feeds a Beast parser. @return bytes consumed.
+/// Passes bytes to a Beast parser and updates `state`. @return the number of bytes consumed.
 template <typename Parser>
 std::size_t feed_parser(Parser& parser, std::string_view bytes, decode_state& state) {
     if (state != decode_state::need_more || bytes.empty()) {
@@ -57,7 +57,7 @@
     return headers;
 }
 
-/// Headers that say how this one connection frames and ends messages.
+/// @return whether the header is about message framing or the lifetime of this connection.
 bool is_framing_header(std::string_view name) {
     constexpr std::array<std::string_view, 6> names = {
         "Connection", "Content-Length", "Transfer-Encoding", "Keep-Alive", "Upgrade", "Trailer"};
@@ -71,7 +71,7 @@
     const bool bad_name =
         entry.name.empty() || entry.name.find_first_of(": \t\r\n") != std::string::npos;
     if (bad_name || entry.value.find_first_of(forbidden) != std::string::npos) {
-        throw std::invalid_argument("header \"" + entry.name + "\" can't be sent");
+        throw std::invalid_argument("header \"" + entry.name + "\" has an invalid name or value");
     }
 }
 
@@ -239,7 +239,7 @@
     return status < 200 || status == no_content || status == not_modified;
 }
 
-std::string encode_head(const answer_head& head) {
+std::string encode_head(const response_head& head) {
     beast_http::response<beast_http::empty_body> native;
     native.version(head.http_1_0 ? http_1_0_version : http_1_1_version);
     native.result(head.status);
@@ -257,7 +257,8 @@
     beast_http::request<beast_http::empty_body> native;
     if (message.target.empty() ||
         message.target.find_first_of(std::string_view(" \r\n\0", 4)) != std::string::npos) {
-        throw std::invalid_argument("target \"" + message.target + "\" can't be sent");
+        throw std::invalid_argument("request target \"" + message.target +
+                                    "\" is empty or has an invalid character");
     }
     native.version(http_1_1_version);
     native.method_string(message.method);
--- a/src/ferryroad/http/codec.hpp
+++ b/src/ferryroad/http/codec.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// HTTP/1.1 text to messages and back. Internal to this folder; Beast stays in codec.cpp.
-/// No I/O: bytes are fed in as they come.
+/// Decoders and encoders for HTTP/1.1 messages. They do no I/O: received bytes are passed to
+/// `feed`. Internal to this folder; Beast is used in codec.cpp only.
 #pragma once
 
 #include "ferryroad/http/message.hpp"
@@ -13,9 +13,10 @@
 
 namespace ferryroad::http {
 
+/// State of a decoder; the last three are errors.
 enum class decode_state { need_more, complete, headers_too_large, body_too_large, malformed };
 
-/// Decodes one request.
+/// Decodes one request. The limits are in bytes.
 class request_decoder {
   public:
     request_decoder(std::size_t header_bytes, std::size_t body_bytes);
@@ -23,17 +24,18 @@
     request_decoder(const request_decoder&) = delete;
     request_decoder& operator=(const request_decoder&) = delete;
 
-    /// @param bytes all that was received and not consumed yet. @return bytes consumed.
+    /// @param bytes all bytes received and not consumed yet. @return the number of bytes consumed.
     std::size_t feed(std::string_view bytes);
     decode_state state() const;
-    /// @return whether the sender waits for `100 Continue` before it sends the body.
+    /// @return whether the client waits for `100 Continue` before it sends the body.
     bool expects_continue() const;
+    /// @return whether the client accepts that the connection stays open after the response.
     bool keep_alive() const;
-    /// @return whether the head has come whole.
+    /// @return whether the request head is complete.
     bool headers_complete() const;
-    /// @return whether the sender understands chunked bodies (HTTP/1.1).
+    /// @return whether the client understands chunked encoding (HTTP/1.1).
     bool accepts_chunks() const;
-    /// @return the request; once, when `complete`.
+    /// @return the request. Call it once, in state `complete`.
     request take();
 
   private:
@@ -42,38 +44,40 @@
     decode_state state_ = decode_state::need_more;
 };
 
-/// Decodes one final answer; interim ones (1xx) are passed over.
+/// Decodes one final response; interim responses (1xx) are skipped.
 class response_decoder {
   public:
     struct limits {
         std::size_t header_bytes;
-        std::optional<std::size_t> body_bytes;  ///< None for streams.
+        std::optional<std::size_t> body_bytes;  ///< `nullopt`: unlimited, for streams.
     };
 
-    /// @param answers_head whether the request was HEAD, whose answer has no body.
+    /// @param answers_head whether the request method is HEAD, whose response has no body.
     response_decoder(limits limit, bool answers_head);
     ~response_decoder();
     response_decoder(const response_decoder&) = delete;
     response_decoder& operator=(const response_decoder&) = delete;
 
+    /// @param bytes all bytes received and not consumed yet. @return the number of bytes consumed.
     std::size_t feed(std::string_view bytes);
     decode_state state() const;
-    /// @return whether any byte of an answer was seen.
+    /// @return whether any byte of a response was fed.
     bool started() const;
+    /// @return whether the head of the final response is complete.
     bool headers_complete() const;
     unsigned status() const;
     header_list headers() const;
-    /// @return the body's bytes since the last call.
+    /// @return the bytes of the body that were decoded since the last call.
     std::string take_body();
-    /// @return whether the connection may carry another request.
+    /// @return whether the server keeps the connection open for another request.
     bool keep_alive() const;
-    /// @return whether the body's end can't be told from a cut: it has neither a length nor
-    /// chunks.
+    /// @return whether the body ends where the connection is closed, as it has neither a length nor
+    /// chunks. Its end can't be distinguished from a lost connection.
     bool is_unbounded() const;
-    /// The other side ended its sending in order: completes an unbounded body, and makes any
-    /// other that is not complete `malformed`.
+    /// Reports that the peer ended its stream without a reset. An unbounded body becomes
+    /// `complete`, any other incomplete response `malformed`.
     void finish();
-    /// Begins anew with the next answer of the same connection.
+    /// Resets the decoder for the next response on the same connection.
     void restart();
 
   private:
@@ -86,14 +90,15 @@
     decode_state state_ = decode_state::need_more;
 };
 
-/// How an answer's body is framed on the wire.
+/// How the body of a response is framed on the wire.
 enum class framing {
     length,      ///< Content-Length.
     chunks,      ///< Transfer-Encoding: chunked.
-    until_close  ///< HTTP/1.0 streams.
+    until_close  ///< Ends when the connection is closed; for HTTP/1.0 streams.
 };
 
-struct answer_head {
+/// The status line and headers of a response to encode.
+struct response_head {
     unsigned status = 200;
     const header_list* headers = nullptr;
     framing body_framing = framing::length;
@@ -102,18 +107,20 @@
     bool http_1_0 = false;
 };
 
-/// @return the head's text with its empty line. Framing headers of the list are left out:
-/// they are set here. @throws std::invalid_argument for a header with a line end in it.
-std::string encode_head(const answer_head& head);
-/// @return as above, for a request. @param host for the Host header, unless the list has one.
+/// @return the encoded head with the empty line that ends it. Framing headers in the list are
+/// ignored, as this function sets them.
+/// @throws std::invalid_argument for a header with an invalid name or with a line end or NUL in it.
+std::string encode_head(const response_head& head);
+/// As above, for a request. @param host value of the Host header, unless the list has one.
+/// @throws std::invalid_argument also for an empty target or one with a space, line end or NUL.
 std::string encode_head(const request& message, const std::string& host);
 
-/// @return one chunk with its size line.
+/// @return `bytes` as one chunk of chunked encoding.
 std::string encode_chunk(std::string_view bytes);
-/// The chunk that ends a body.
+/// The zero-length chunk that ends a chunked body.
 constexpr std::string_view last_chunk = "0\r\n\r\n";
 
-/// @return whether an answer of that status never has a body.
+/// @return whether a response with that status never has a body (1xx, 204, 304).
 bool is_bodiless(unsigned status);
 
 }  // namespace ferryroad::http
--- a/src/ferryroad/http/connection.cpp
+++ b/src/ferryroad/http/connection.cpp
@@ -74,7 +74,7 @@
     std::size_t written = 0;
     while (written < total) {
         if (progress > base::duration::zero()) {
-            set_limit(progress);
+            set_timeout(progress);
         }
         const std::size_t head_offset = std::min(written, head.size());
         const std::size_t body_offset = written - head_offset;
@@ -87,17 +87,17 @@
         written += count;
     }
     if (progress > base::duration::zero()) {
-        lift_limit();
+        clear_timeout();
     }
     co_return boost::system::error_code{};
 }
 
-void connection::set_limit(base::duration delay) {
-    const std::uint64_t generation = ++limit_generation_;
+void connection::set_timeout(base::duration delay) {
+    const std::uint64_t generation = ++timeout_generation_;
     timer_.expires_after(delay);
     timer_.async_wait([weak = weak_from_this(), generation](boost::system::error_code failure) {
         const auto self = weak.lock();
-        if (failure || !self || self->limit_generation_ != generation) {
+        if (failure || !self || self->timeout_generation_ != generation) {
             return;
         }
         self->expired_ = true;
@@ -105,12 +105,12 @@
     });
 }
 
-void connection::lift_limit() {
-    ++limit_generation_;
+void connection::clear_timeout() {
+    ++timeout_generation_;
     timer_.cancel();
 }
 
-bool connection::is_quiet() {
+bool connection::is_idle() {
     if (!received_.empty() || !socket_.is_open()) {
         return false;
     }
@@ -138,7 +138,7 @@
 }
 
 void connection::close() {
-    lift_limit();
+    clear_timeout();
     boost::system::error_code ignored;
     socket_.close(ignored);
 }
--- a/src/ferryroad/http/connection.hpp
+++ b/src/ferryroad/http/connection.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// One TCP connection of a server or a client: bytes received and not yet parsed, writes, and
-/// one time limit. Internal to this folder.
+/// A TCP connection of a server or client, with a receive buffer and a timeout. Internal to this
+/// folder.
 #pragma once
 
 #include "ferryroad/base/endpoint.hpp"
@@ -17,9 +17,9 @@
 
 namespace ferryroad::http {
 
-/// Owned by shared pointers; a coroutine that calls it holds one. Cancelling a coroutine in
-/// any of these calls leaves the object whole: bytes read are kept, a write cut short is an
-/// error after which the owner closes the connection.
+/// Owned by shared pointers; a coroutine that calls a member holds one. Cancelling a coroutine in
+/// one of the calls leaves the object valid: received bytes are kept; an interrupted write is an
+/// error, after which the owner must close the connection.
 class connection : public std::enable_shared_from_this<connection> {
   public:
     using socket_type = boost::asio::ip::tcp::socket;
@@ -28,35 +28,39 @@
 
     runtime::task<boost::system::error_code> connect(base::endpoint address);
 
-    /// Appends at least one byte to `received`. The other side's close is `eof`.
+    /// Waits for data and appends at least one byte to `received`. Returns `eof` if the peer
+    /// closed.
     runtime::task<boost::system::error_code> read_more();
+    /// @return the bytes received and not consumed yet.
     std::string_view received() const { return received_; }
+    /// Removes the first `bytes` bytes from `received`.
     void consume(std::size_t bytes) { received_.erase(0, bytes); }
 
-    /// Writes all bytes. @param progress limit for each step; zero: the limit that is set.
+    /// Writes all bytes. @param progress timeout for each partial write; if zero, the timeout that
+    /// is already set stays in force.
     runtime::task<boost::system::error_code> write(std::string head, std::string body,
                                                    base::duration progress);
 
-    /// Closes the connection after `delay`, unless a new limit is set or it is lifted before.
-    void set_limit(base::duration delay);
-    void lift_limit();
-    /// @return whether the limit closed the connection.
+    /// Closes the connection after `delay`, unless a new timeout is set or it is cleared before.
+    void set_timeout(base::duration delay);
+    void clear_timeout();
+    /// @return whether the timeout closed the connection.
     bool is_expired() const { return expired_; }
 
-    /// @return whether the other side neither closed nor sent anything.
-    bool is_quiet();
-    /// @return whether bytes wait, received or in the system's buffer.
+    /// @return whether the connection is open and the peer has neither closed it nor sent anything.
+    bool is_idle();
+    /// @return whether unread bytes are waiting, in `received` or in the socket's buffer.
     bool has_input();
 
-    /// @throws boost::system::system_error where `failure` means that the calling coroutine
-    /// was cancelled, and not that the connection was closed.
+    /// @throws boost::system::system_error if `failure` means that the calling coroutine was
+    /// cancelled; an abort because the connection was closed doesn't throw.
     void throw_if_cancelled(const boost::system::error_code& failure) const;
 
     bool is_open() const { return socket_.is_open(); }
-    /// Sends the end of stream, keeps reading.
+    /// Closes the sending direction (FIN); reading goes on.
     void shutdown_send();
     void close();
-    /// Closes with a reset, so that the other side can't take it for an end.
+    /// Closes with a reset (RST), so that the peer can't mistake it for a regular end.
     void reset();
 
   private:
@@ -66,7 +70,7 @@
     socket_type socket_;
     runtime::boot_timer timer_;
     std::string received_;
-    std::uint64_t limit_generation_ = 0;
+    std::uint64_t timeout_generation_ = 0;
     bool expired_ = false;
 };
 
--- a/src/ferryroad/http/connection_pool.cpp
+++ b/src/ferryroad/http/connection_pool.cpp
@@ -8,8 +8,9 @@
 
 namespace {
 
-/// A request sent just before the other side's idle limit could cross its close.
-constexpr base::duration idle_hint_margin = std::chrono::milliseconds(500);
+/// How long before the server's announced idle timeout a connection is given up: a request sent
+/// just before that timeout could cross the server's close.
+constexpr base::duration idle_timeout_margin = std::chrono::milliseconds(500);
 
 }  // namespace
 
@@ -26,7 +27,7 @@
     while (!list.empty()) {
         const idle_connection newest = std::move(list.back());
         list.pop_back();
-        if (newest.until > now && newest.link->is_quiet()) {
+        if (newest.until > now && newest.link->is_idle()) {
             return newest.link;
         }
         newest.link->close();
@@ -34,7 +35,7 @@
     return nullptr;
 }
 
-bool connection_pool::keeps(const base::endpoint& address) const {
+bool connection_pool::has_idle_connection(const base::endpoint& address) const {
     const auto found = idle_.find(address);
     const bool any = found != idle_.end() && !found->second.empty();
     return any && found->second.back().until > scheduler_.now();
@@ -45,16 +46,19 @@
 }
 
 void connection_pool::put_back(const base::endpoint& address, std::shared_ptr<connection> link,
-                               std::optional<base::duration> other_side_keeps) {
-    const base::duration hinted = other_side_keeps.value_or(limits_.idle) - idle_hint_margin;
-    const base::duration kept = other_side_keeps ? std::min(limits_.idle, hinted) : limits_.idle;
-    const bool keepable = limits_.idle_connections_per_address > 0 && kept > base::duration{};
-    if (!keepable || !link->is_quiet()) {
+                               std::optional<base::duration> announced_idle_timeout) {
+    const base::duration announced_limit =
+        announced_idle_timeout.value_or(limits_.idle) - idle_timeout_margin;
+    const base::duration idle_timeout =
+        announced_idle_timeout ? std::min(limits_.idle, announced_limit) : limits_.idle;
+    const bool keepable =
+        limits_.idle_connections_per_address > 0 && idle_timeout > base::duration{};
+    if (!keepable || !link->is_idle()) {
         link->close();
         return;
     }
     idle_list& list = idle_[address];
-    list.push_back({std::move(link), scheduler_.now() + kept});
+    list.push_back({std::move(link), scheduler_.now() + idle_timeout});
     if (list.size() > limits_.idle_connections_per_address) {
         list.front().link->close();
         list.pop_front();
--- a/src/ferryroad/http/error_answer.hpp
+++ b/src/ferryroad/http/error_answer.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The one shape of an error's JSON body: `{"error":{"type","code","message"}}`.
+/// Error responses with the JSON body `{"error":{"type","code","message"}}`.
 #pragma once
 
 #include "ferryroad/http/message.hpp"
@@ -8,14 +8,14 @@
 
 namespace ferryroad::http {
 
-/// What went wrong, for a program (`code`) and for a person (`message`).
+/// Content of an error body: `code` is meant for programs, `message` for people.
 struct error_text {
-    std::string_view type;  ///< Family, such as `invalid_request_error`.
+    std::string_view type;  ///< Category, such as `invalid_request_error`.
     std::string_view code;
     std::string_view message;
 };
 
-/// @return an answer with that status and the JSON error body.
+/// @return a response with that status and the JSON error body.
 response error_answer(unsigned status, const error_text& text);
 
 }  // namespace ferryroad::http
--- a/src/ferryroad/http/errors.hpp
+++ b/src/ferryroad/http/errors.hpp
@@ -1,18 +1,21 @@
 /// @file
-/// Errors of HTTP exchanges, ours as a client and as a server.
+/// Errors of HTTP exchanges, for the client and the server.
 #pragma once
 
 #include <string>
 
 namespace ferryroad::http {
 
+/// Why an exchange failed.
 enum class error_code {
-    connect_failed,   ///< No connection: no byte was sent.
-    withheld,         ///< The sender took it back as the connection was there: no byte was sent.
-    connection_lost,  ///< Cut or reset after at least one byte was sent.
-    timed_out,        ///< No whole answer in time after at least one byte was sent.
-    malformed,        ///< Not HTTP, or not the JSON that was expected.
-    too_large         ///< Over the limit for headers or body.
+    connect_failed,  ///< No connection could be opened; nothing was sent.
+    /// `relay_options::last_look` rejected the request once the connection was open; nothing was
+    /// sent.
+    withheld,
+    connection_lost,  ///< Closed or reset after at least one byte was sent.
+    timed_out,        ///< No complete response in time after at least one byte was sent.
+    malformed,        ///< Not valid HTTP, or not the expected JSON.
+    too_large         ///< Headers, body or a line of it exceed the size limit.
 };
 
 struct error {
--- a/src/ferryroad/http/json.cpp
+++ b/src/ferryroad/http/json.cpp
@@ -14,7 +14,7 @@
     return error{error_code::malformed, std::move(message)};
 }
 
-/// @return the number if it is whole and not below zero, whichever way it was written.
+/// @return the number if it is a non-negative integer, whether it is stored signed or unsigned.
 std::optional<std::uint64_t> to_unsigned(const boost::json::value& value) {
     if (value.is_uint64()) {
         return value.get_uint64();
--- a/src/ferryroad/http/json.hpp
+++ b/src/ferryroad/http/json.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Reading JSON bodies field by field with an error that names the field. Boost.JSON inside.
+/// Reads JSON bodies field by field; errors name the field. Based on Boost.JSON.
 #pragma once
 
 #include "ferryroad/http/errors.hpp"
@@ -14,16 +14,19 @@
 
 namespace ferryroad::http {
 
-/// @return the value, or `malformed` with the place of the fault. Depth is limited.
+/// @return the value, or `malformed` with the byte offset of the syntax error. The nesting depth is
+/// limited.
 runtime::result<boost::json::value, error> parse_json(std::string_view text);
 
+/// @return `value` as compact JSON text.
 std::string to_text(const boost::json::value& value);
 
-/// Reads typed fields of an object. The first fault sticks in `fault()`; later reads give
-/// defaults, so that a decoder reads straight down and checks once.
+/// Reads typed fields of an object. `fault` keeps the first error, and reads of missing or mistyped
+/// fields return a default, so that a decoder can read all fields and check for an error once.
 class object_reader {
   public:
-    /// @param value need not be an object: then every read is a fault.
+    /// @param value an object; anything else is recorded as an error.
+    /// @param path of `value` in the body, used as a prefix of field names in errors.
     explicit object_reader(const boost::json::value& value, std::string path = {});
 
     std::string text(std::string_view name);
@@ -34,13 +37,14 @@
     double number(std::string_view name);
     double number_or(std::string_view name, double fallback);
     bool boolean_or(std::string_view name, bool fallback);
-    /// @return the member, or null where it is missing (no fault).
+    /// @return the member, or null if it is missing (which is no error).
     const boost::json::value* find(std::string_view name) const;
-    /// @return the array's values; missing is empty, another type is a fault.
+    /// @return the array; an empty one if it is missing. Another type is an error.
     const boost::json::array& list(std::string_view name);
 
-    /// Records a fault that the caller found itself.
+    /// Records an error that the caller has found.
     void fail(std::string_view name, std::string_view expected);
+    /// @return the first error, if any.
     const std::optional<error>& fault() const { return fault_; }
 
   private:
--- a/src/ferryroad/http/line_stream.cpp
+++ b/src/ferryroad/http/line_stream.cpp
@@ -35,7 +35,8 @@
         std::optional<std::string> line = take_line();
         const std::size_t length = line ? line->size() : pending_.size();
         if (length > limits_.line_bytes) {
-            co_return error{error_code::too_large, "a line of the stream is too long"};
+            co_return error{error_code::too_large,
+                            "line of a streamed response exceeds the size limit"};
         }
         if (line) {
             co_return std::move(line);
@@ -50,7 +51,7 @@
         take_body();
     }
     if (!pending_.empty()) {
-        co_return error{error_code::malformed, "the stream ends in the middle of a line"};
+        co_return error{error_code::malformed, "streamed response ends in the middle of a line"};
     }
     co_return std::optional<std::string>();
 }
@@ -64,7 +65,7 @@
         }
         take_body();
         if (pending_.size() > limits_.rest_bytes) {
-            co_return error{error_code::too_large, "the answer's body is too large"};
+            co_return error{error_code::too_large, "response body exceeds the size limit"};
         }
     }
     searched_ = 0;
--- a/src/ferryroad/http/line_stream.hpp
+++ b/src/ferryroad/http/line_stream.hpp
@@ -1,19 +1,21 @@
 /// @file
-/// Lines of a streamed answer. Internal to this folder.
+/// The `response_stream` of a client. Internal to this folder.
 #pragma once
 
 #include "ferryroad/http/client_exchange.hpp"
 
 namespace ferryroad::http {
 
+/// Size limits in bytes, for one line and for `read_rest`.
 struct line_limits {
     std::size_t line_bytes;
     std::size_t rest_bytes;
 };
 
+/// Splits the body of an exchange into lines.
 class line_stream final : public response_stream {
   public:
-    /// @param started whose headers have come.
+    /// @param started an exchange whose response headers have arrived.
     line_stream(std::unique_ptr<exchange> started, line_limits limits);
 
     unsigned status() const override { return status_; }
@@ -29,8 +31,8 @@
     line_limits limits_;
     unsigned status_;
     header_list headers_;
-    std::string pending_;       ///< Body bytes not given out yet.
-    std::size_t searched_ = 0;  ///< Bytes of `pending_` known to have no line end.
+    std::string pending_;       ///< Body bytes not returned yet.
+    std::size_t searched_ = 0;  ///< Length of the prefix of `pending_` known to have no line end.
 };
 
 }  // namespace ferryroad::http
--- a/src/ferryroad/http/message.cpp
+++ b/src/ferryroad/http/message.cpp
@@ -16,7 +16,7 @@
     return letter || digit || byte == '-' || byte == '.' || byte == '_' || byte == '~';
 }
 
-/// @return the byte that two hex digits stand for.
+/// @return the byte encoded by two hex digits; `nullopt` if they aren't valid.
 std::optional<char> decode_byte(std::string_view digits) {
     std::uint8_t byte = 0;
     const auto* end = digits.data() + digits.size();
--- a/src/ferryroad/http/message.hpp
+++ b/src/ferryroad/http/message.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// HTTP messages apart from Beast, so that only this folder's sources include Beast.
+/// HTTP messages. Independent of Beast, so that only this folder's sources include it.
 #pragma once
 
 #include <optional>
@@ -14,15 +14,15 @@
     std::string value;
 };
 
-/// Headers in order of arrival; names compare without case.
+/// Headers in order of arrival. Names are compared case-insensitively.
 class header_list {
   public:
     header_list() = default;
     header_list(std::initializer_list<header> initial) : entries_(initial) {}
     void add(std::string name, std::string value);
-    /// Gives the first header of that name another value, or adds one.
+    /// Sets the value of the first header of that name, or adds the header.
     void set(std::string_view name, std::string value);
-    /// @return the first value of that name.
+    /// @return the value of the first header of that name.
     std::optional<std::string_view> find(std::string_view name) const;
     const std::vector<header>& entries() const { return entries_; }
 
@@ -36,9 +36,9 @@
     header_list headers;
     std::string body;
 
-    /// @return the target up to the query.
+    /// @return the target without its query.
     std::string_view path() const;
-    /// @return the decoded value of a query parameter.
+    /// @return the decoded value of the first query parameter of that name.
     std::optional<std::string> query(std::string_view name) const;
 };
 
@@ -48,10 +48,10 @@
     std::string body;
 };
 
-/// @return `text` with every byte but letters, digits and `-._~` percent-encoded, for one
-/// path segment or one query value.
+/// @return `text` with all bytes except letters, digits and `-._~` percent-encoded, for use as one
+/// path segment or query value.
 std::string encode_component(std::string_view text);
-/// @return `text` with its percent-encoded bytes decoded; a broken escape stays as it is.
+/// @return `text` with its percent-encoded bytes decoded; an invalid escape is kept as it is.
 std::string decode_component(std::string_view text);
 
 }  // namespace ferryroad::http
--- a/src/ferryroad/http/relayed_body.hpp
+++ b/src/ferryroad/http/relayed_body.hpp
@@ -1,14 +1,15 @@
 /// @file
-/// The body of a relayed answer. Internal to this folder.
+/// The `byte_stream` of a client. Internal to this folder.
 #pragma once
 
 #include "ferryroad/http/client_exchange.hpp"
 
 namespace ferryroad::http {
 
+/// Reads the body of an exchange in blocks as they arrive.
 class relayed_body final : public byte_stream {
   public:
-    /// @param started whose headers have come.
+    /// @param started an exchange whose response headers have arrived.
     explicit relayed_body(std::unique_ptr<exchange> started);
 
     unsigned status() const override { return m_status; }
--- a/src/ferryroad/http/server.cpp
+++ b/src/ferryroad/http/server.cpp
@@ -27,7 +27,7 @@
     state(runtime::scheduler& scheduler_in, server_limits limits, handler handle)
         : scheduler(scheduler_in),
           acceptor(scheduler_in.executor()),
-          emptied(scheduler_in.executor()),
+          all_sessions_closed(scheduler_in.executor()),
           shared(std::make_shared<server_shared>()) {
         shared->limits = limits;
         shared->handle = std::move(handle);
@@ -36,15 +36,15 @@
     base::endpoint listen(const base::endpoint& address);
     runtime::task<void> accept_connections(std::shared_ptr<state> self);
     void start_session(tcp::socket socket);
-    runtime::task<void> run_session(std::shared_ptr<state> self, std::shared_ptr<session> one,
-                                    bool over_limit);
-    void accept_waiting();
+    runtime::task<void> run_session(std::shared_ptr<state> self,
+                                    std::shared_ptr<session> current_session, bool over_limit);
+    void accept_pending();
     runtime::task<void> drain(std::shared_ptr<state> self);
     void close();
 
     runtime::scheduler& scheduler;
     tcp::acceptor acceptor;
-    runtime::boot_timer emptied;  ///< Cancelled when the last session ends.
+    runtime::boot_timer all_sessions_closed;  ///< Cancelled when the last session ends.
     std::shared_ptr<server_shared> shared;
     std::unordered_set<session*> sessions;
 };
@@ -71,7 +71,8 @@
         if (failure == asio::error::operation_aborted) {
             co_return;
         }
-        runtime::log(runtime::log_level::warning, log_component, "a connection wasn't accepted",
+        runtime::log(runtime::log_level::warning, log_component,
+                     "accepting a connection failed; retrying after a delay",
                      {{"error", failure.message()}});
         co_await scheduler.sleep_for(accept_retry_delay);
     }
@@ -82,25 +83,26 @@
     socket.set_option(tcp::no_delay(true), ignored);
     const bool over_limit = sessions.size() >= shared->limits.connections;
     auto link = std::make_shared<connection>(std::move(socket));
-    auto one = std::make_shared<session>(std::move(link), shared);
-    sessions.insert(one.get());
-    scheduler.spawn(log_component, run_session(shared_from_this(), one, over_limit));
+    auto current_session = std::make_shared<session>(std::move(link), shared);
+    sessions.insert(current_session.get());
+    scheduler.spawn(log_component, run_session(shared_from_this(), current_session, over_limit));
 }
 
 runtime::task<void> server::state::run_session([[maybe_unused]] std::shared_ptr<state> self,
-                                               std::shared_ptr<session> one, bool over_limit) {
+                                               std::shared_ptr<session> current_session,
+                                               bool over_limit) {
     if (over_limit) {
-        co_await one->refuse();
+        co_await current_session->refuse();
     } else {
-        co_await one->run();
+        co_await current_session->run();
     }
-    sessions.erase(one.get());
+    sessions.erase(current_session.get());
     if (sessions.empty()) {
-        emptied.cancel();
+        all_sessions_closed.cancel();
     }
 }
 
-void server::state::accept_waiting() {
+void server::state::accept_pending() {
     boost::system::error_code failure;
     acceptor.non_blocking(true, failure);
     while (!failure) {
@@ -114,24 +116,24 @@
 runtime::task<void> server::state::drain([[maybe_unused]] std::shared_ptr<state> self) {
     shared->draining = true;
     if (acceptor.is_open()) {
-        accept_waiting();
+        accept_pending();
         acceptor.close();
     }
     const std::unordered_set<session*> open = sessions;
-    for (session* one : open) {
-        one->drain();
+    for (session* current_session : open) {
+        current_session->drain();
     }
     while (!sessions.empty()) {
-        emptied.expires_at(runtime::boot_timer::time_point::max());
-        co_await emptied.async_wait(as_result);
+        all_sessions_closed.expires_at(runtime::boot_timer::time_point::max());
+        co_await all_sessions_closed.async_wait(as_result);
     }
 }
 
 void server::state::close() {
     boost::system::error_code ignored;
     acceptor.close(ignored);
-    for (session* one : sessions) {
-        one->close();
+    for (session* current_session : sessions) {
+        current_session->close();
     }
 }
 
--- a/src/ferryroad/http/server.hpp
+++ b/src/ferryroad/http/server.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// HTTP/1.1 server (Beast inside): keep-alive, whole answers and chunked streams, limits,
-/// planned stop.
+/// HTTP/1.1 server (Beast) with keep-alive, complete and chunked responses, limits and graceful
+/// shutdown.
 #pragma once
 
 #include "ferryroad/base/endpoint.hpp"
@@ -15,10 +15,11 @@
 
 namespace ferryroad::http {
 
-/// Answers one request: either `send` once, or `begin_stream`, `write` any number of times,
-/// and `end_stream`. A stream dropped before `end_stream` closes the connection without the
-/// final chunk, so that the other side sees a broken body. Valid until the handler returns.
-/// Cancelling a coroutine in a write breaks the answer and throws operation_aborted.
+/// Writes the response to one request: either `send` once, or `begin_stream`, then `write` any
+/// number of times, then `end_stream`. If the handler returns before `end_stream`, the connection
+/// is closed without the final chunk, so that the client sees a truncated body. Valid until the
+/// handler returns. Cancelling a coroutine in a write leaves the response truncated and throws
+/// boost::system::system_error (operation_aborted).
 class response_writer {
   public:
     virtual ~response_writer() = default;
@@ -27,26 +28,29 @@
                                                                      header_list headers) = 0;
     virtual runtime::task<runtime::result<void, error>> write(std::string chunk) = 0;
     virtual runtime::task<runtime::result<void, error>> end_stream() = 0;
-    /// Completes when the other side closes its connection while the handler is at work. Meant
-    /// for `handler_work || writer.wait_closed()` (Asio's awaitable operators), whose first
-    /// success ends the other: work that throws leaves this waiting, so it catches its own.
+    /// Completes when the client closes the connection while the handler runs. Meant for
+    /// `handler_work || writer.wait_closed()` (Asio's awaitable operators), where the first operand
+    /// that succeeds cancels the other. An exception from `handler_work` doesn't cancel this wait,
+    /// so `handler_work` has to catch its own exceptions.
     virtual runtime::task<void> wait_closed() = 0;
-    /// Closes the connection abruptly: for emulators' cut faults.
+    /// Closes the connection with a reset. Emulators use it to inject truncated responses.
     virtual void abort() = 0;
 };
 
+/// Timeouts and size limits of a server.
 struct server_limits {
     std::size_t header_bytes = std::size_t{16} * 1024;
     std::size_t body_bytes = std::size_t{8} * 1024 * 1024;
     std::size_t connections = 4096;
-    base::duration idle = std::chrono::seconds(60);          ///< Between requests.
-    base::duration header_read = std::chrono::seconds(30);   ///< For a request's head.
-    base::duration request_read = std::chrono::seconds(30);  ///< For the body after it.
-    base::duration write = std::chrono::seconds(30);         ///< For one write to progress.
+    base::duration idle = std::chrono::seconds(60);         ///< Between requests.
+    base::duration header_read = std::chrono::seconds(30);  ///< For the request head.
+    base::duration request_read =
+        std::chrono::seconds(30);                     ///< For the request body after the head.
+    base::duration write = std::chrono::seconds(30);  ///< For each partial write.
 };
 
-/// One listening address. All on the event loop's thread; owned by the composition root,
-/// which keeps it until the loop has ended.
+/// A server on one listening address. Use it from the event loop's thread only. The composition
+/// root owns it and keeps it until the loop has ended.
 class server {
   public:
     using handler = std::function<runtime::task<void>(request, response_writer&)>;
@@ -56,28 +60,29 @@
     server(const server&) = delete;
     server& operator=(const server&) = delete;
 
-    /// Called on each answer that the server gives by itself to what never became a request
-    /// (malformed, too large, too many connections), before it is sent.
+    /// Called before the server sends an error response of its own to input that never reached the
+    /// handler (malformed, too large, too many connections). May change the response.
     using refusal_completion = std::function<void(response&)>;
-    /// Before `listen`.
+    /// Sets that callback. Call it before `listen`.
     void complete_refusals(refusal_completion complete);
 
-    /// Listens and accepts. Port 0 takes a free port.
-    /// @return the address listened on. @throws boost::system::system_error where it can't.
+    /// Starts listening and accepting connections. Port 0 chooses a free port.
+    /// @return the actual address. @throws boost::system::system_error if it can't listen there.
     base::endpoint listen(const base::endpoint& address);
 
-    /// Limits in force from the next request of each connection on.
+    /// Changes the limits, from the next request of each connection on.
     void change_limits(server_limits limits);
 
-    /// First step of a planned stop, for servers behind a balancer that needs a while to see
-    /// that this one leaves: goes on accepting, but every answer ends its connection.
+    /// First step of a graceful shutdown behind a load balancer that takes a while to notice that
+    /// this server is leaving: still accepts connections, but closes each one after its next
+    /// response.
     void begin_leaving();
 
-    /// Planned stop: accepts no connection, closes idle ones, answers requests at work with
-    /// `Connection: close`. @return once the last connection is closed.
+    /// Graceful shutdown: stops accepting, closes idle connections and completes requests in
+    /// progress with `Connection: close`. Returns when the last connection is closed.
     runtime::task<void> drain();
 
-    /// @return requests now being handled.
+    /// @return the number of requests being handled.
     std::size_t active_requests() const;
 
   private:
--- a/src/ferryroad/http/session.cpp
+++ b/src/ferryroad/http/session.cpp
@@ -13,14 +13,14 @@
 
 namespace {
 
-/// Time for the other side to read a refusal and to close.
-constexpr base::duration linger_limit = std::chrono::seconds(2);
-/// Time for the first request of a connection that was accepted just before a planned stop.
-constexpr base::duration fresh_drain_limit = std::chrono::seconds(1);
+/// Time for the peer to read an error response and to close the connection.
+constexpr base::duration linger_timeout = std::chrono::seconds(2);
+/// Time for the first request of a connection that was accepted just before a graceful shutdown.
+constexpr base::duration first_request_drain_timeout = std::chrono::seconds(1);
 constexpr std::string_view continue_answer = "HTTP/1.1 100 Continue\r\n\r\n";
 constexpr std::string_view log_component = "http.server";
 
-/// Counts a request as active while it lives.
+/// Counts a request as active during the lifetime of this object.
 class active_count {
   public:
     explicit active_count(std::size_t& count) : count_(count) { ++count_; }
@@ -39,7 +39,7 @@
 
 void session::drain() {
     if (phase_ == phase::fresh) {
-        link_->set_limit(fresh_drain_limit);
+        link_->set_timeout(first_request_drain_timeout);
     } else if (phase_ == phase::idle && !link_->has_input()) {
         link_->close();
     }
@@ -57,30 +57,30 @@
 }
 
 runtime::task<bool> session::wait_for_input() {
-    const bool last_chance = shared_->draining && !link_->has_input();
-    if (last_chance && phase_ == phase::idle) {
+    const bool draining_without_input = shared_->draining && !link_->has_input();
+    if (draining_without_input && phase_ == phase::idle) {
         co_return false;
     }
-    link_->set_limit(last_chance ? fresh_drain_limit : shared_->limits.idle);
+    link_->set_timeout(draining_without_input ? first_request_drain_timeout : shared_->limits.idle);
     const boost::system::error_code failure = co_await link_->read_more();
     co_return !failure;
 }
 
 runtime::task<bool> session::read_request(request_decoder& decoder) {
     if (link_->received().empty()) {
-        const bool came = co_await wait_for_input();
-        if (!came) {
+        const bool has_bytes = co_await wait_for_input();
+        if (!has_bytes) {
             co_return false;
         }
     }
     phase_ = phase::reading;
-    link_->set_limit(std::min(shared_->limits.header_read, shared_->limits.request_read));
+    link_->set_timeout(std::min(shared_->limits.header_read, shared_->limits.request_read));
     bool continue_sent = false;
     bool reading_body = false;
     for (;;) {
         link_->consume(decoder.feed(link_->received()));
         if (decoder.state() == decode_state::complete) {
-            link_->lift_limit();
+            link_->clear_timeout();
             co_return true;
         }
         if (decoder.state() != decode_state::need_more) {
@@ -89,7 +89,7 @@
         }
         if (decoder.headers_complete() && !reading_body) {
             reading_body = true;
-            link_->set_limit(shared_->limits.request_read);
+            link_->set_timeout(shared_->limits.request_read);
         }
         if (decoder.expects_continue() && !continue_sent) {
             continue_sent = true;
@@ -117,7 +117,7 @@
         runtime::log_exception(log_component, std::current_exception());
         failed = true;
     }
-    if (!writer.has_begun() && link_->is_open()) {
+    if (!writer.is_started() && link_->is_open()) {
         const error_text text{
             "server_error", "internal_error",
             failed ? "the request's handler failed" : "the request's handler gave no answer"};
@@ -155,7 +155,7 @@
     if (shared_->complete_refusal) {
         shared_->complete_refusal(answer);
     }
-    answer_head head;
+    response_head head;
     head.status = status;
     head.headers = &answer.headers;
     head.body_bytes = answer.body.size();
@@ -171,7 +171,7 @@
 
 runtime::task<void> session::linger() {
     link_->shutdown_send();
-    link_->set_limit(linger_limit);
+    link_->set_timeout(linger_timeout);
     for (;;) {
         const boost::system::error_code failure = co_await link_->read_more();
         if (failure) {
--- a/src/ferryroad/http/session_writer.hpp
+++ b/src/ferryroad/http/session_writer.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The `response_writer` of a server's connection. Internal to this folder.
+/// The `response_writer` of a server connection. Internal to this folder.
 #pragma once
 
 #include "ferryroad/http/codec.hpp"
@@ -7,17 +7,18 @@
 
 namespace ferryroad::http {
 
+/// Writes one response to a connection.
 class session_writer final : public response_writer {
   public:
-    /// What the request says about its answer.
-    struct terms {
+    /// Properties of the request that determine the form of the response.
+    struct request_properties {
         bool keep_alive = true;
         bool accepts_chunks = true;
         bool is_head = false;
     };
 
     session_writer(std::shared_ptr<connection> link, std::shared_ptr<server_shared> shared,
-                   terms request_terms);
+                   request_properties properties);
 
     runtime::task<runtime::result<void, error>> send(response answer) override;
     runtime::task<runtime::result<void, error>> begin_stream(unsigned status,
@@ -27,21 +28,25 @@
     runtime::task<void> wait_closed() override;
     void abort() override;
 
-    bool has_begun() const { return stage_ != stage::none; }
-    /// @return whether the answer went out whole and the connection may carry another request.
+    /// @return whether writing the response was started.
+    bool is_started() const { return stage_ != stage::none; }
+    /// @return whether the response was written completely and the connection may be reused.
     bool may_keep_alive() const { return stage_ == stage::complete && kept_alive_; }
 
   private:
     enum class stage { none, streaming, complete, broken };
 
-    /// Writes; the answer is `broken` until all is written, also where this is cancelled.
-    runtime::task<runtime::result<void, error>> put(std::string head, std::string body, stage next);
+    /// Writes the bytes and then sets the stage to `next`. Until then, and after a failure or
+    /// cancellation, the stage is `broken`.
+    runtime::task<runtime::result<void, error>> write_bytes(std::string head, std::string body,
+                                                            stage next);
+    /// @return `connection_lost` if the stage is `broken`. @throws std::logic_error otherwise.
     runtime::result<void, error> misuse(const char* message);
-    bool may_be_kept_alive() const;
+    bool allows_keep_alive() const;
 
     std::shared_ptr<connection> link_;
     std::shared_ptr<server_shared> shared_;
-    terms terms_;
+    request_properties request_properties_;
     stage stage_ = stage::none;
     bool kept_alive_ = false;
 };
--- a/test/http/cancel_test.cpp
+++ b/test/http/cancel_test.cpp
@@ -1,4 +1,5 @@
-/// Cancelled and late exchanges: an answer reaches its own request or none.
+/// Guards against responses that are delivered to the wrong request after an earlier exchange on a
+/// pooled connection was cancelled or timed out.
 #include "test/http/loopback.hpp"
 
 #include <boost/asio/experimental/awaitable_operators.hpp>
@@ -13,7 +14,7 @@
 constexpr base::duration long_limit = std::chrono::seconds(20);
 constexpr int requests = 60;
 
-/// Answers each request with its own target, some of them late and in two parts.
+/// Responds to each request with its own target after a random delay, in two parts.
 runtime::task<void> answer_late(test::loopback& loop, http::request message,
                                 http::response_writer& writer) {
     const auto delay = std::chrono::microseconds(loop.scheduler.random().below(4000));
@@ -25,9 +26,9 @@
 }
 
 struct tally {
-    int own = 0;
-    int foreign = 0;
-    int given_up = 0;  ///< Over the limit, on the way or while connecting.
+    int matching = 0;
+    int of_other_requests = 0;
+    int timed_out_requests = 0;  ///< Timed out while connecting or waiting for the response.
     int cancelled = 0;
     int other = 0;
 };
@@ -40,17 +41,17 @@
     const auto answer =
         co_await client.send(address, std::move(message), limit, http::resend::forbidden);
     if (answer) {
-        ++(answer->body == target ? counts.own : counts.foreign);
+        ++(answer->body == target ? counts.matching : counts.of_other_requests);
         co_return;
     }
     const http::error_code code = answer.error().code;
-    const bool given_up =
+    const bool timed_out =
         code == http::error_code::timed_out || code == http::error_code::connect_failed;
-    ++(given_up ? counts.given_up : counts.other);
+    ++(timed_out ? counts.timed_out_requests : counts.other);
 }
 
-/// Sends requests one after another over one pool; every third is given a limit that some
-/// exceed and every third is cancelled on the way.
+/// Sends requests one after another over one pool. One third has a timeout that some of them
+/// exceed, one third is cancelled while in progress.
 tally send_with_limits_and_cancellation() {
     test::loopback loop;
     const auto handle = [&](http::request message, http::response_writer& writer) {
@@ -79,7 +80,7 @@
     return counts;
 }
 
-/// One request that is given up on by time, with its answer written afterwards.
+/// Outcome of a request that times out and whose response is written afterwards.
 struct late_outcome {
     bool timed_out = false;
     std::string next_body;
@@ -92,20 +93,20 @@
                                             {boost::asio::ip::make_address("127.0.0.1"), 0});
     const base::endpoint address{"127.0.0.1", acceptor.local_endpoint().port()};
     http::client client(loop.scheduler, {});
-    late_outcome came;
+    late_outcome actual;
     const auto serve = [&]() -> runtime::task<void> {
         auto first = co_await acceptor.async_accept(boost::asio::use_awaitable);
         test::raw_socket late(std::move(first));
         co_await late.read_until("\r\n\r\n");
-        co_await loop.until([&] { return came.timed_out; });
-        ++came.connections;
+        co_await loop.until([&] { return actual.timed_out; });
+        ++actual.connections;
         boost::system::error_code ignored;
         try {
             co_await late.write("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
         } catch (const boost::system::system_error&) {
         }
         auto second = co_await acceptor.async_accept(boost::asio::use_awaitable);
-        ++came.connections;
+        ++actual.connections;
         test::raw_socket next(std::move(second));
         co_await next.read_until("\r\n\r\n");
         co_await next.write("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nown");
@@ -115,18 +116,18 @@
         http::request message;
         const auto answer = co_await client.send(
             address, std::move(message), std::chrono::milliseconds(20), http::resend::allowed);
-        came.timed_out = !answer && answer.error().code == http::error_code::timed_out;
+        actual.timed_out = !answer && answer.error().code == http::error_code::timed_out;
         http::request next;
         const auto next_answer =
             co_await client.send(address, std::move(next), long_limit, http::resend::allowed);
-        came.next_body = next_answer ? next_answer->body : next_answer.error().message;
+        actual.next_body = next_answer ? next_answer->body : next_answer.error().message;
     };
     cr_assert(loop.run(body));
-    return came;
+    return actual;
 }
 
-/// A server answers twice to one request: the second answer is nobody's.
-std::string after_an_unasked_answer() {
+/// A server sends two responses to one request. @return the body that the next request gets.
+std::string body_after_unsolicited_response() {
     const std::string first = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst";
     const std::string second = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond";
     test::loopback loop;
@@ -147,22 +148,22 @@
 
 }  // namespace
 
-Test(cancel, no_answer_reaches_another_request) {
+Test(cancel, no_response_is_delivered_to_another_request) {
     const tally counts = send_with_limits_and_cancellation();
-    cr_assert_eq(counts.foreign, 0);
+    cr_assert_eq(counts.of_other_requests, 0);
     cr_assert_eq(counts.other, 0, "%d requests failed otherwise", counts.other);
-    cr_assert_eq(counts.own + counts.given_up + counts.cancelled, requests);
-    cr_assert_geq(counts.own, requests / 3);
+    cr_assert_eq(counts.matching + counts.timed_out_requests + counts.cancelled, requests);
+    cr_assert_geq(counts.matching, requests / 3);
 }
 
-Test(cancel, late_answer_dies_with_its_connection) {
-    const late_outcome came = answer_after_the_limit();
-    cr_assert(came.timed_out);
-    cr_assert(came.next_body == "own", "%s", came.next_body.c_str());
-    cr_assert_eq(came.connections, 2U);
+Test(cancel, late_response_is_discarded_with_its_connection) {
+    const late_outcome actual = answer_after_the_limit();
+    cr_assert(actual.timed_out);
+    cr_assert(actual.next_body == "own", "%s", actual.next_body.c_str());
+    cr_assert_eq(actual.connections, 2U);
 }
 
-Test(cancel, unasked_answer_is_not_taken_for_the_next) {
-    const std::string body = after_an_unasked_answer();
+Test(cancel, unsolicited_response_is_not_delivered_to_the_next_request) {
+    const std::string body = body_after_unsolicited_response();
     cr_assert(body == "second", "%s", body.c_str());
 }
--- a/test/http/client_answer_test.cpp
+++ b/test/http/client_answer_test.cpp
@@ -1,4 +1,4 @@
-/// What a client makes of each answer a server may give, whole, cut, malformed, late.
+/// Result of a client for each kind of response: complete, truncated, malformed, late.
 #include "test/http/loopback.hpp"
 
 #include <optional>
@@ -15,7 +15,7 @@
     const char* name;
     test::script script;
     std::optional<http::error_code> fault;
-    const char* body;  ///< Where there is no fault.
+    const char* body;  ///< Expected if there is no error.
     base::duration limit = long_limit;
 };
 
@@ -80,20 +80,20 @@
     test::loopback loop;
     test::scripted_server server(loop, {sent.script});
     http::client client(loop.scheduler, small_limits());
-    outcome came;
+    outcome actual;
     const auto body = [&]() -> runtime::task<void> {
         http::request message;
         const auto answer = co_await client.send(server.address(), std::move(message), sent.limit,
                                                  http::resend::allowed);
         if (answer) {
-            came.body = answer->body;
+            actual.body = answer->body;
         } else {
-            came.fault = answer.error();
+            actual.fault = answer.error();
         }
     };
-    came.ended = loop.run(body);
-    came.requests = server.requests();
-    return came;
+    actual.ended = loop.run(body);
+    actual.requests = server.requests();
+    return actual;
 }
 
 std::optional<http::error> send_to_closed_port() {
@@ -116,7 +116,7 @@
     return fault;
 }
 
-/// Two requests on one pooled connection that the server closes upon the second.
+/// Outcome of two requests on one pooled connection that the server closes upon the second.
 struct resend_outcome {
     bool first = false;
     std::optional<http::error> second_fault;
@@ -129,23 +129,23 @@
     test::loopback loop;
     test::scripted_server server(loop, {{{whole, second_answer}, true}, {{whole}, true}});
     http::client client(loop.scheduler, {});
-    resend_outcome came;
+    resend_outcome actual;
     const auto body = [&]() -> runtime::task<void> {
         http::request first;
         const auto first_answer =
             co_await client.send(server.address(), std::move(first), long_limit, again);
-        came.first = first_answer.has_value();
+        actual.first = first_answer.has_value();
         http::request second;
         const auto answer =
             co_await client.send(server.address(), std::move(second), long_limit, again);
         if (!answer) {
-            came.second_fault = answer.error();
+            actual.second_fault = answer.error();
         }
     };
     cr_assert(loop.run(body));
-    came.connections = server.connections();
-    came.requests = server.requests();
-    return came;
+    actual.connections = server.connections();
+    actual.requests = server.requests();
+    return actual;
 }
 
 }  // namespace
@@ -156,16 +156,16 @@
 
 ParameterizedTest(std::size_t* index, client_answer, table) {
     const row& sent = rows()[*index];
-    const outcome came = send(sent);
-    cr_assert(came.ended, "no end: %s", sent.name);
-    cr_assert_eq(came.fault.has_value(), sent.fault.has_value(), "%s, fault %s", sent.name,
-                 came.fault ? came.fault->message.c_str() : "none");
+    const outcome actual = send(sent);
+    cr_assert(actual.ended, "didn't complete: %s", sent.name);
+    cr_assert_eq(actual.fault.has_value(), sent.fault.has_value(), "%s, fault %s", sent.name,
+                 actual.fault ? actual.fault->message.c_str() : "none");
     if (sent.fault) {
-        cr_assert(came.fault->code == *sent.fault, "%s, fault %s", sent.name,
-                  came.fault->message.c_str());
+        cr_assert(actual.fault->code == *sent.fault, "%s, fault %s", sent.name,
+                  actual.fault->message.c_str());
     }
-    cr_assert(came.body == sent.body, "%s, body %s", sent.name, came.body.c_str());
-    cr_assert_eq(came.requests, 1U, "a fresh connection's request isn't sent again: %s", sent.name);
+    cr_assert(actual.body == sent.body, "%s, body %s", sent.name, actual.body.c_str());
+    cr_assert_eq(actual.requests, 1U, "a request on a new connection isn't resent: %s", sent.name);
 }
 
 Test(client_answer, refused_connection_sends_nothing) {
@@ -174,25 +174,25 @@
     cr_assert(fault->code == http::error_code::connect_failed);
 }
 
-Test(client_answer, dead_pooled_connection_is_replaced_where_allowed) {
-    const resend_outcome came = send_twice(http::resend::allowed, "");
-    cr_assert(came.first);
-    cr_assert_not(came.second_fault.has_value());
-    cr_assert_eq(came.connections, 2U);
-    cr_assert_eq(came.requests, 3U);
+Test(client_answer, closed_pooled_connection_is_replaced_if_resending_is_allowed) {
+    const resend_outcome actual = send_twice(http::resend::allowed, "");
+    cr_assert(actual.first);
+    cr_assert_not(actual.second_fault.has_value());
+    cr_assert_eq(actual.connections, 2U);
+    cr_assert_eq(actual.requests, 3U);
 }
 
-Test(client_answer, dead_pooled_connection_is_lost_where_forbidden) {
-    const resend_outcome came = send_twice(http::resend::forbidden, "");
-    cr_assert(came.first);
-    cr_assert(came.second_fault.has_value());
-    cr_assert(came.second_fault->code == http::error_code::connection_lost);
-    cr_assert_eq(came.requests, 2U);
+Test(client_answer, closed_pooled_connection_is_an_error_if_resending_is_forbidden) {
+    const resend_outcome actual = send_twice(http::resend::forbidden, "");
+    cr_assert(actual.first);
+    cr_assert(actual.second_fault.has_value());
+    cr_assert(actual.second_fault->code == http::error_code::connection_lost);
+    cr_assert_eq(actual.requests, 2U);
 }
 
-Test(client_answer, no_second_sending_once_an_answer_began) {
-    const resend_outcome came = send_twice(http::resend::allowed, "HTTP/1.1 2");
-    cr_assert(came.second_fault.has_value());
-    cr_assert(came.second_fault->code == http::error_code::connection_lost);
-    cr_assert_eq(came.requests, 2U);
+Test(client_answer, request_is_not_resent_once_a_response_has_started) {
+    const resend_outcome actual = send_twice(http::resend::allowed, "HTTP/1.1 2");
+    cr_assert(actual.second_fault.has_value());
+    cr_assert(actual.second_fault->code == http::error_code::connection_lost);
+    cr_assert_eq(actual.requests, 2U);
 }
--- a/test/http/client_relay_test.cpp
+++ b/test/http/client_relay_test.cpp
@@ -1,5 +1,5 @@
-/// Answers passed on as they come: early ones, ones without length, cuts, and how long a
-/// connection may be kept.
+/// Relayed responses: early ones, ones without a length, truncated ones, and how long the
+/// connection is kept afterwards.
 #include "test/http/loopback.hpp"
 
 using namespace ferryroad;
@@ -18,7 +18,7 @@
 struct answer_row {
     const char* name;
     const char* text;
-    bool whole;  ///< Whether the body has a proper end.
+    bool whole;  ///< Whether the body has a regular end.
     const char* body;
 };
 const answer_row rows[] = {
@@ -54,7 +54,7 @@
     cr_assert(body == row.body, "%s", row.name);
 }
 
-/// A server that refuses before it has read the request, and reads no more.
+/// A server that responds with 503 before it has read the request, and then reads nothing.
 runtime::task<void> refuse_early(boost::asio::ip::tcp::acceptor& acceptor) {
     ferryroad::test::raw_socket socket(co_await acceptor.async_accept(boost::asio::use_awaitable));
     co_await socket.write("HTTP/1.1 503 No\r\nContent-Length: 2\r\n\r\nno");
@@ -79,7 +79,7 @@
     cr_assert(bytes.has_value() && *bytes == "no");
 }
 
-/// Two exchanges in a row. @return connections that the server saw.
+/// Two exchanges in a row. Checks how many connections the server accepted.
 runtime::task<void> send_two(ferryroad::test::loopback& loop, const char* header,
                              std::size_t connections) {
     const std::string answer =
@@ -99,16 +99,18 @@
     cr_assert_eq(server.connections(), connections, "%s", header);
 }
 
-/// A request that is looked at once its connection is there. @return how often it was.
-runtime::task<void> look(ferryroad::test::loopback& loop, bool still_to_be_sent, int& looks) {
+/// A request with a callback before it is sent.
+/// @param call_count counts the calls.
+runtime::task<void> check_callback(ferryroad::test::loopback& loop, bool still_to_be_sent,
+                                   int& call_count) {
     const std::string answer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
     ferryroad::test::scripted_server server(loop, {{{answer}, false}});
     http::client client(loop.scheduler, http::client_limits{});
     http::request message = post("");
     http::relay_options options;
     options.limit = 2s;
-    options.last_look = [still_to_be_sent, &looks](http::header_list&) {
-        ++looks;
+    options.last_look = [still_to_be_sent, &call_count](http::header_list&) {
+        ++call_count;
         return still_to_be_sent;
     };
     auto stream = co_await client.relay(server.address(), std::move(message), std::move(options));
@@ -121,8 +123,9 @@
     }
 }
 
-/// Nothing listens there.
-runtime::task<void> look_without_connection(ferryroad::test::loopback& loop, int& looks) {
+/// As above, at an address where nothing listens.
+runtime::task<void> check_callback_without_connection(ferryroad::test::loopback& loop,
+                                                      int& call_count) {
     boost::asio::ip::tcp::acceptor closed(loop.context,
                                           {boost::asio::ip::make_address("127.0.0.1"), 0});
     const base::endpoint address{"127.0.0.1", closed.local_endpoint().port()};
@@ -131,8 +134,8 @@
     http::request message = post("");
     http::relay_options options;
     options.limit = 2s;
-    options.last_look = [&looks](http::header_list&) {
-        ++looks;
+    options.last_look = [&call_count](http::header_list&) {
+        ++call_count;
         return true;
     };
     auto stream = co_await client.relay(address, std::move(message), std::move(options));
@@ -141,32 +144,32 @@
 
 }  // namespace
 
-Test(client_relay, a_request_is_looked_at_once_as_its_connection_is_there) {
+Test(client_relay, the_callback_before_sending_is_called_once_the_connection_is_open) {
     for (const bool still_to_be_sent : {true, false}) {
         ferryroad::test::loopback loop;
-        int looks = 0;
-        cr_assert(loop.run([&] { return look(loop, still_to_be_sent, looks); }));
-        cr_assert_eq(looks, 1);
+        int call_count = 0;
+        cr_assert(loop.run([&] { return check_callback(loop, still_to_be_sent, call_count); }));
+        cr_assert_eq(call_count, 1);
     }
     ferryroad::test::loopback loop;
-    int looks = 0;
-    cr_assert(loop.run([&] { return look_without_connection(loop, looks); }));
-    cr_assert_eq(looks, 0);
+    int call_count = 0;
+    cr_assert(loop.run([&] { return check_callback_without_connection(loop, call_count); }));
+    cr_assert_eq(call_count, 0);
 }
 
-Test(client_relay, bodies_end_as_they_say) {
+Test(client_relay, truncated_bodies_are_errors) {
     for (const answer_row& row : rows) {
         ferryroad::test::loopback loop;
         cr_assert(loop.run([&] { return check(loop, row); }), "%s", row.name);
     }
 }
 
-Test(client_relay, an_answer_may_come_before_the_request_is_sent) {
+Test(client_relay, a_response_may_arrive_before_the_request_is_sent) {
     ferryroad::test::loopback loop;
     cr_assert(loop.run([&] { return send_much(loop); }));
 }
 
-Test(client_relay, connections_are_kept_as_long_as_the_other_side_says) {
+Test(client_relay, connections_are_kept_as_long_as_the_server_announces) {
     struct row {
         const char* header;
         std::size_t connections;
--- a/test/http/json_test.cpp
+++ b/test/http/json_test.cpp
@@ -1,4 +1,4 @@
-/// JSON faults name the field or the place.
+/// JSON errors name the field or the byte offset; percent-encoding round trip.
 #include "ferryroad/http/json.hpp"
 
 #include "ferryroad/http/message.hpp"
@@ -12,7 +12,7 @@
 
 struct row {
     const char* text;
-    const char* fault;  ///< Part of the message; empty: accepted.
+    const char* fault;  ///< Part of the error message; empty: no error.
 };
 
 const std::vector<row>& rows() {
@@ -67,7 +67,7 @@
     }
 }
 
-Test(json, component_encoding_is_undone_by_decoding) {
+Test(json, decoding_reverses_component_encoding) {
     cr_assert(rc::check("decode(encode(x)) is x, also in a query", [](const std::string& text) {
         const std::string encoded = http::encode_component(text);
         http::request message;
--- a/test/http/loopback.hpp
+++ b/test/http/loopback.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Scaffolding: an event loop that runs one coroutine to its end, and raw sockets that say
-/// exactly the bytes a test wants said. Coroutine lambdas stay out of Criterion's test bodies:
-/// GCC 12 gives their parts one symbol there.
+/// Test fixtures: an event loop that runs one coroutine to completion, and raw sockets that send
+/// exactly the given bytes. Don't write coroutine lambdas in the body of a Criterion test: GCC 12
+/// gives the functions that it generates for them the same symbol there.
 #pragma once
 
 #include "ferryroad/http/client.hpp"
@@ -26,13 +26,13 @@
 
 namespace ferryroad::test {
 
-/// One loop for server and client of a test.
+/// The event loop shared by server and client of a test.
 struct loopback {
     boost::asio::io_context context{1};
     runtime::asio_scheduler scheduler{context, 1};
 
-    /// Runs `body` to its end; the loop is given up after a generous limit.
-    /// @return whether it ended.
+    /// Runs `body` to completion, for 30 s at most. Rethrows its exception.
+    /// @return whether it completed.
     bool run(const std::function<runtime::task<void>()>& body) {
         bool ended = false;
         std::exception_ptr failure;
@@ -53,7 +53,7 @@
         return ended;
     }
 
-    /// Yields until `condition` holds.
+    /// Waits until `condition` holds, polling every millisecond.
     runtime::task<void> until(std::function<bool()> condition) {
         while (!condition()) {
             co_await scheduler.sleep_for(std::chrono::milliseconds(1));
@@ -63,7 +63,7 @@
 
 inline const base::endpoint any_port{"127.0.0.1", 0};
 
-/// A TCP connection by hand.
+/// A TCP connection without any HTTP logic.
 class raw_socket {
   public:
     explicit raw_socket(boost::asio::io_context& context) : socket_(context) {}
@@ -76,7 +76,7 @@
         co_await boost::asio::async_write(socket_, boost::asio::buffer(bytes),
                                           boost::asio::use_awaitable);
     }
-    /// @return all that came by the time `end` has come, or by the other side's close.
+    /// @return all bytes received until they contain `end` or the peer closes.
     runtime::task<std::string> read_until(std::string end) {
         std::string text;
         while (end.empty() || text.find(end) == std::string::npos) {
@@ -99,14 +99,14 @@
     boost::asio::ip::tcp::socket socket_;
 };
 
-/// What a scripted server does on one connection: answers its requests (without body) one by
-/// one, then closes, or keeps the connection and says nothing more.
+/// What a scripted server does on one connection: sends one answer per request (without a body),
+/// then closes the connection or leaves it open without sending anything more.
 struct script {
     std::vector<std::string> answers;
     bool close_at_end = true;
 };
 
-/// Plays the nth script on the nth connection.
+/// A server that runs the nth script on the nth connection.
 class scripted_server {
   public:
     scripted_server(loopback& loop, std::vector<script> scripts)
@@ -149,7 +149,7 @@
     std::size_t requests_ = 0;
 };
 
-/// Parameters for a Criterion test over the rows of a table, by index.
+/// Parameters for a Criterion test: the indexes of the rows of a table.
 inline criterion_test_params row_indexes(std::size_t count) {
     static std::vector<std::size_t> indexes;
     for (std::size_t index = indexes.size(); index < count; ++index) {
--- a/test/http/malformed_request_test.cpp
+++ b/test/http/malformed_request_test.cpp
@@ -1,4 +1,4 @@
-/// Bad input gets a clear answer, and the server goes on serving.
+/// Malformed or too large requests get an error response, and the server keeps serving others.
 #include "ferryroad/http/json.hpp"
 #include "test/http/loopback.hpp"
 
@@ -15,7 +15,7 @@
 struct row {
     const char* name;
     std::string bytes;
-    const char* status;  ///< Beginning of the answer; empty: closed without one.
+    const char* status;  ///< Beginning of the response; empty: closed without one.
     const char* code;
 };
 
@@ -63,8 +63,8 @@
 
 struct answers {
     bool ended = false;
-    std::string answer;       ///< To the bytes of the row.
-    std::string next_answer;  ///< To a proper request after them.
+    std::string answer;       ///< Response to the bytes of the row.
+    std::string next_answer;  ///< Response to a valid request after them.
 };
 
 answers exchange(const std::string& bytes) {
@@ -74,20 +74,20 @@
     limits.body_bytes = body_limit;
     http::server server(loop.scheduler, limits, echo);
     const base::endpoint address = server.listen(test::any_port);
-    answers came;
+    answers actual;
     const auto body = [&]() -> runtime::task<void> {
         test::raw_socket socket(loop.context);
         socket.connect(address);
         co_await socket.write(bytes);
-        came.answer = co_await socket.read_to_close();
+        actual.answer = co_await socket.read_to_close();
         socket.close();
         test::raw_socket next(loop.context);
         next.connect(address);
         co_await next.write("POST / HTTP/1.1\r\nContent-Length: 2\r\n\r\nok");
-        came.next_answer = co_await next.read_until("ok");
+        actual.next_answer = co_await next.read_until("ok");
     };
-    came.ended = loop.run(body);
-    return came;
+    actual.ended = loop.run(body);
+    return actual;
 }
 
 }  // namespace
@@ -99,7 +99,7 @@
 ParameterizedTest(std::size_t* index, malformed_request, table) {
     const row& sent = rows()[*index];
     const auto [ended, answer, next_answer] = exchange(sent.bytes);
-    cr_assert(ended, "no end: %s", sent.name);
+    cr_assert(ended, "didn't complete: %s", sent.name);
     cr_assert(answer.starts_with(sent.status), "%s, answered %s", sent.name, answer.c_str());
     const auto parsed = http::parse_json(answer.substr(answer.find("\r\n\r\n") + 4));
     cr_assert(parsed.has_value(), "%s, answered %s", sent.name, answer.c_str());
--- a/test/http/server_test.cpp
+++ b/test/http/server_test.cpp
@@ -1,5 +1,5 @@
-/// The server's side of a connection: reuse, pipelined requests, the other side closing,
-/// streams, planned stop.
+/// Server side of a connection: reuse, pipelined requests, clients that close, streams, graceful
+/// shutdown.
 #include "test/http/loopback.hpp"
 
 #include <boost/asio/experimental/awaitable_operators.hpp>
@@ -13,13 +13,13 @@
 
 const std::string get_text = "GET /a HTTP/1.1\r\nHost: x\r\n\r\n";
 
-/// A server whose handler serves each test by the request's path.
+/// A server whose handler selects its behaviour by the request path.
 struct fixture {
     test::loopback loop;
     http::server server;
     base::endpoint address;
-    bool gate_open = false;       ///< Lets `/gated` and `/stream` go on.
-    std::size_t seen_closed = 0;  ///< Handlers that saw the other side close.
+    bool gate_open = false;       ///< Lets `/gated` and `/stream` continue.
+    std::size_t seen_closed = 0;  ///< Handlers that saw the client close.
     std::optional<http::error> stream_fault;
 
     explicit fixture(http::server_limits limits = {})
@@ -77,8 +77,8 @@
     }
 };
 
-/// @return all that the server says to `bytes`, until it closes or `end` has come.
-std::string say(fixture& one, const std::string& bytes, const std::string& end) {
+/// @return all that the server sends in response to `bytes`, until it closes or has sent `end`.
+std::string exchange_bytes(fixture& one, const std::string& bytes, const std::string& end) {
     std::string answer;
     const auto body = [&]() -> runtime::task<void> {
         test::raw_socket socket(one.loop.context);
@@ -86,14 +86,14 @@
         co_await socket.write(bytes);
         answer = co_await socket.read_until(end);
     };
-    cr_assert(one.loop.run(body), "no end, %s", bytes.c_str());
+    cr_assert(one.loop.run(body), "didn't complete, %s", bytes.c_str());
     return answer;
 }
 
 struct exchange_row {
     const char* name;
     std::string bytes;
-    std::string end;  ///< Of the answer; empty: the server closes.
+    std::string end;  ///< End of the response; empty: the server closes.
     std::string start;
     std::string contains;
 };
@@ -143,7 +143,8 @@
     return one.loop.run(body) && quiet;
 }
 
-/// A peer that closes while its request is handled, with another request pipelined or not.
+/// A client closes while its request is handled, with or without another request pipelined.
+/// @return the number of handlers that saw it.
 std::size_t handlers_that_see_close(const std::string& pipelined) {
     fixture one;
     const auto body = [&]() -> runtime::task<void> {
@@ -177,7 +178,8 @@
     return answer;
 }
 
-/// Planned stop with an idle connection, an active whole answer and an active stream.
+/// Outcome of a graceful shutdown with an idle connection, a request in progress and an open
+/// stream.
 struct drain_outcome {
     std::string idle;
     std::string gated;
@@ -189,10 +191,10 @@
 
 drain_outcome drain_under_load() {
     fixture one;
-    drain_outcome came;
+    drain_outcome actual;
     const auto drain = [&]() -> runtime::task<void> {
         co_await one.server.drain();
-        came.drained = true;
+        actual.drained = true;
     };
     const auto body = [&]() -> runtime::task<void> {
         test::raw_socket idle(one.loop.context);
@@ -205,34 +207,35 @@
         test::raw_socket stream(one.loop.context);
         stream.connect(one.address);
         co_await stream.write("GET /stream HTTP/1.1\r\n\r\n");
-        came.stream = co_await stream.read_until("first\n\r\n");
+        actual.stream = co_await stream.read_until("first\n\r\n");
         co_await one.until_active(2);
         one.loop.scheduler.spawn("drain", drain());
-        came.idle = co_await idle.read_to_close();
-        came.drained_while_active = came.drained;
+        actual.idle = co_await idle.read_to_close();
+        actual.drained_while_active = actual.drained;
         test::raw_socket late(one.loop.context);
         try {
             late.connect(one.address);
         } catch (const boost::system::system_error&) {
-            came.refused_new = true;
+            actual.refused_new = true;
         }
         one.gate_open = true;
-        came.gated = co_await gated.read_to_close();
-        came.stream += co_await stream.read_to_close();
-        co_await one.loop.until([&] { return came.drained; });
+        actual.gated = co_await gated.read_to_close();
+        actual.stream += co_await stream.read_to_close();
+        co_await one.loop.until([&] { return actual.drained; });
     };
     cr_assert(one.loop.run(body));
-    return came;
+    return actual;
 }
 
-/// A request that was sent, and a connection that was made, before the planned stop.
+/// A connection is opened and a request sent right before a graceful shutdown.
+/// @return the response.
 std::string drain_with_request_on_its_way() {
     fixture one;
     std::string answer;
     const auto body = [&]() -> runtime::task<void> {
         test::raw_socket socket(one.loop.context);
         socket.connect(one.address);
-        co_await socket.write(get_text);  // Nothing was accepted yet or all of it was.
+        co_await socket.write(get_text);  // Whether or not the server has accepted it.
         co_await one.server.drain();
         answer = co_await socket.read_to_close();
     };
@@ -258,14 +261,14 @@
     return answer;
 }
 
-std::optional<http::error> write_to_a_peer_that_left() {
+std::optional<http::error> write_to_a_client_that_closed() {
     fixture one;
     const auto body = [&]() -> runtime::task<void> {
         {
             test::raw_socket socket(one.loop.context);
             socket.connect(one.address);
             co_await socket.write("GET /stream HTTP/1.1\r\n\r\n");
-        }  // Closed with the answer's bytes unread: a reset.
+        }  // Closing with unread bytes of the response sends a reset.
         co_await one.until_active(1);
         co_await one.loop.scheduler.sleep_for(std::chrono::milliseconds(5));
         one.gate_open = true;
@@ -279,14 +282,14 @@
     http::server_limits limits;
     limits.idle = std::chrono::milliseconds(20);
     fixture one(limits);
-    return say(one, "", "");
+    return exchange_bytes(one, "", "");
 }
 
 std::string slow_request_answer() {
     http::server_limits limits;
     limits.request_read = std::chrono::milliseconds(20);
     fixture one(limits);
-    return say(one, "GET /a HT", "");
+    return exchange_bytes(one, "GET /a HT", "");
 }
 
 }  // namespace
@@ -298,7 +301,7 @@
 ParameterizedTest(std::size_t* index, server, exchanges) {
     const exchange_row& row = exchange_rows()[*index];
     fixture one;
-    const std::string answer = say(one, row.bytes, row.end);
+    const std::string answer = exchange_bytes(one, row.bytes, row.end);
     cr_assert(answer.starts_with(row.start), "%s, %s", row.name, answer.c_str());
     cr_assert(answer.find(row.contains) != std::string::npos, "%s, %s", row.name, answer.c_str());
     cr_assert(answer.ends_with(row.end), "%s, %s", row.name, answer.c_str());
@@ -306,37 +309,39 @@
 
 Test(server, head_answer_ends_with_its_headers) {
     fixture one;
-    const std::string answer = say(one, "HEAD /a HTTP/1.1\r\nConnection: close\r\n\r\n", "");
+    const std::string answer =
+        exchange_bytes(one, "HEAD /a HTTP/1.1\r\nConnection: close\r\n\r\n", "");
     cr_assert(answer.ends_with("\r\n\r\n"), "%s", answer.c_str());
 }
 
-Test(server, request_cut_short_reaches_no_handler) {
+Test(server, truncated_request_reaches_no_handler) {
     cr_assert(closes_mid_request_unanswered());
 }
 
-Test(server, handler_sees_the_peer_close) {
+Test(server, handler_sees_the_client_close) {
     cr_assert_eq(handlers_that_see_close(""), 1U);
 }
 
-Test(server, handler_sees_the_peer_close_behind_a_pipelined_request) {
+Test(server, handler_sees_the_client_close_behind_a_pipelined_request) {
     cr_assert_eq(handlers_that_see_close(get_text), 1U);
 }
 
-Test(server, waiting_for_close_eats_no_pipelined_request) {
+Test(server, waiting_for_close_keeps_a_pipelined_request) {
     const std::string answer = pipelined_behind_wait();
     cr_assert(answer.find("gatedHTTP/1.1 200") != std::string::npos, "%s", answer.c_str());
     cr_assert(answer.ends_with("/a"), "%s", answer.c_str());
 }
 
-Test(server, drain_finishes_active_answers_and_closes_idle_connections) {
-    const drain_outcome came = drain_under_load();
-    cr_assert(came.idle.empty());
-    cr_assert(came.refused_new);
-    cr_assert_not(came.drained_while_active);
-    cr_assert(came.gated.find("Connection: close") != std::string::npos, "%s", came.gated.c_str());
-    cr_assert(came.gated.ends_with("gated"), "%s", came.gated.c_str());
-    cr_assert(came.stream.ends_with("5\r\nlast\n\r\n0\r\n\r\n"), "%s", came.stream.c_str());
-    cr_assert(came.drained);
+Test(server, drain_completes_active_responses_and_closes_idle_connections) {
+    const drain_outcome actual = drain_under_load();
+    cr_assert(actual.idle.empty());
+    cr_assert(actual.refused_new);
+    cr_assert_not(actual.drained_while_active);
+    cr_assert(actual.gated.find("Connection: close") != std::string::npos, "%s",
+              actual.gated.c_str());
+    cr_assert(actual.gated.ends_with("gated"), "%s", actual.gated.c_str());
+    cr_assert(actual.stream.ends_with("5\r\nlast\n\r\n0\r\n\r\n"), "%s", actual.stream.c_str());
+    cr_assert(actual.drained);
 }
 
 Test(server, drain_answers_a_request_already_sent) {
@@ -351,8 +356,8 @@
     cr_assert(answer.find("Retry-After") != std::string::npos, "%s", answer.c_str());
 }
 
-Test(server, stream_to_a_peer_that_left_is_an_error) {
-    const auto fault = write_to_a_peer_that_left();
+Test(server, stream_to_a_client_that_closed_is_an_error) {
+    const auto fault = write_to_a_client_that_closed();
     cr_assert(fault.has_value());
     cr_assert(fault->code == http::error_code::connection_lost);
 }
--- a/test/http/slow_reader_test.cpp
+++ b/test/http/slow_reader_test.cpp
@@ -1,5 +1,5 @@
-/// What is written to a caller that reads nothing is held up by the connection, not kept: the
-/// writer waits, and gives up after the limit for a write.
+/// Backpressure from a client that doesn't read: the writer waits instead of buffering the response
+/// without bound, and fails after the write timeout.
 #include "test/http/loopback.hpp"
 
 #include <cstddef>
@@ -10,11 +10,11 @@
 namespace {
 
 constexpr std::size_t piece_bytes = std::size_t{64} * 1024;
-/// More than the kernel keeps for both ends of a connection.
-constexpr std::size_t most_kept_bytes = std::size_t{16} * 1024 * 1024;
+/// More than the kernel buffers for both ends of a connection.
+constexpr std::size_t max_buffered_bytes = std::size_t{16} * 1024 * 1024;
 constexpr base::duration write_limit = 300ms;
 
-/// A server whose answers never end.
+/// A server whose responses never end.
 struct endless_server {
     endless_server()
         : server(loop.scheduler, limits(),
@@ -27,32 +27,32 @@
     runtime::task<void> answer(http::response_writer& writer) {
         http::header_list headers;
         co_await writer.begin_stream(200, std::move(headers));
-        for (bool taken = true; taken;) {
+        for (bool accepted = true; accepted;) {
             std::string piece(piece_bytes, 'x');
             const auto written = co_await writer.write(std::move(piece));
-            taken = written.has_value();
-            bytes_taken += taken ? piece_bytes : 0;
+            accepted = written.has_value();
+            bytes_written += accepted ? piece_bytes : 0;
         }
-        gave_up = true;
+        write_failed = true;
     }
-    runtime::task<void> ask_and_read_nothing() {
+    runtime::task<void> send_request_and_never_read() {
         test::raw_socket socket(loop.context);
         socket.connect(server.listen(test::any_port));
         co_await socket.write("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
-        co_await loop.until([this] { return gave_up; });
+        co_await loop.until([this] { return write_failed; });
     }
 
     test::loopback loop;
     http::server server;
-    std::size_t bytes_taken = 0;
-    bool gave_up = false;
+    std::size_t bytes_written = 0;
+    bool write_failed = false;
 };
 
 }  // namespace
 
-Test(slow_reader, a_caller_that_reads_nothing_holds_the_writer_up_and_is_given_up) {
+Test(slow_reader, a_client_that_does_not_read_blocks_the_writer_until_the_write_timeout) {
     endless_server at;
-    cr_assert(at.loop.run([&] { return at.ask_and_read_nothing(); }));
-    cr_assert(at.gave_up);
-    cr_assert_lt(at.bytes_taken, most_kept_bytes);
+    cr_assert(at.loop.run([&] { return at.send_request_and_never_read(); }));
+    cr_assert(at.write_failed);
+    cr_assert_lt(at.bytes_written, max_buffered_bytes);
 }
--- a/test/http/stream_test.cpp
+++ b/test/http/stream_test.cpp
@@ -1,4 +1,5 @@
-/// Streamed answers line by line; a broken body is never taken for an end.
+/// Streamed responses read line by line; a truncated or malformed body is never taken for a regular
+/// end.
 #include "test/http/loopback.hpp"
 
 #include <optional>
@@ -44,7 +45,7 @@
     bool ended = false;
     std::vector<std::string> lines;
     std::optional<http::error> fault;
-    std::optional<http::error> fault_again;  ///< Of one more read after the fault.
+    std::optional<http::error> fault_again;  ///< Result of another read after the error.
 };
 
 outcome read_stream(const row& sent) {
@@ -53,7 +54,7 @@
     http::client_limits limits;
     limits.line_bytes = line_limit;
     http::client client(loop.scheduler, limits);
-    outcome came;
+    outcome actual;
     const auto body = [&]() -> runtime::task<void> {
         http::request message;
         const auto opened = co_await client.open(server.address(), std::move(message), long_limit,
@@ -63,22 +64,23 @@
         for (;;) {
             const auto line = co_await stream.next_line(sent.limit);
             if (!line) {
-                came.fault = line.error();
+                actual.fault = line.error();
                 const auto again = co_await stream.next_line(sent.limit);
-                came.fault_again = again ? std::nullopt : std::optional<http::error>(again.error());
+                actual.fault_again =
+                    again ? std::nullopt : std::optional<http::error>(again.error());
                 co_return;
             }
             if (!*line) {
                 co_return;
             }
-            came.lines.push_back(**line);
+            actual.lines.push_back(**line);
         }
     };
-    came.ended = loop.run(body);
-    return came;
+    actual.ended = loop.run(body);
+    return actual;
 }
 
-/// Reads a stream whole or drops it early, then sends another request.
+/// Outcome of a stream that is read completely or dropped early, and of a request after it.
 struct reuse_outcome {
     std::size_t connections = 0;
     std::string second_body;
@@ -90,7 +92,7 @@
     test::loopback loop;
     test::scripted_server server(loop, {{{first, whole}, false}, {{whole}, false}});
     http::client client(loop.scheduler, {});
-    reuse_outcome came;
+    reuse_outcome actual;
     const auto body = [&]() -> runtime::task<void> {
         http::request message;
         auto opened = co_await client.open(server.address(), std::move(message), long_limit,
@@ -107,11 +109,11 @@
         const auto answer = co_await client.send(server.address(), std::move(second), long_limit,
                                                  http::resend::forbidden);
         cr_assert(answer.has_value());
-        came.second_body = answer->body;
+        actual.second_body = answer->body;
     };
     cr_assert(loop.run(body));
-    came.connections = server.connections();
-    return came;
+    actual.connections = server.connections();
+    return actual;
 }
 
 }  // namespace
@@ -122,26 +124,27 @@
 
 ParameterizedTest(std::size_t* index, stream, table) {
     const row& sent = rows()[*index];
-    const outcome came = read_stream(sent);
-    cr_assert(came.ended, "no end: %s", sent.name);
-    cr_assert(came.lines == sent.lines, "%s, %zu lines", sent.name, came.lines.size());
-    cr_assert_eq(came.fault.has_value(), sent.fault.has_value(), "%s, fault %s", sent.name,
-                 came.fault ? came.fault->message.c_str() : "none");
+    const outcome actual = read_stream(sent);
+    cr_assert(actual.ended, "didn't complete: %s", sent.name);
+    cr_assert(actual.lines == sent.lines, "%s, %zu lines", sent.name, actual.lines.size());
+    cr_assert_eq(actual.fault.has_value(), sent.fault.has_value(), "%s, fault %s", sent.name,
+                 actual.fault ? actual.fault->message.c_str() : "none");
     if (sent.fault) {
-        cr_assert(came.fault->code == *sent.fault, "%s, fault %s", sent.name,
-                  came.fault->message.c_str());
-        cr_assert(came.fault_again.has_value(), "the fault is forgotten: %s", sent.name);
+        cr_assert(actual.fault->code == *sent.fault, "%s, fault %s", sent.name,
+                  actual.fault->message.c_str());
+        cr_assert(actual.fault_again.has_value(), "a later read doesn't report the error: %s",
+                  sent.name);
     }
 }
 
-Test(stream, connection_is_used_again_after_the_whole_answer) {
-    const reuse_outcome came = stream_then_send(false);
-    cr_assert_eq(came.connections, 1U);
-    cr_assert(came.second_body == "second");
+Test(stream, connection_is_reused_after_a_complete_response) {
+    const reuse_outcome actual = stream_then_send(false);
+    cr_assert_eq(actual.connections, 1U);
+    cr_assert(actual.second_body == "second");
 }
 
 Test(stream, connection_is_closed_when_a_stream_is_dropped) {
-    const reuse_outcome came = stream_then_send(true);
-    cr_assert_eq(came.connections, 2U);
-    cr_assert(came.second_body == "second");
+    const reuse_outcome actual = stream_then_send(true);
+    cr_assert_eq(actual.connections, 2U);
+    cr_assert(actual.second_body == "second");
 }
