--- a/src/ferryroad/http/client.hpp
+++ b/src/ferryroad/http/client.hpp
@@ -85,9 +85,10 @@
     base::duration first{};    ///< Time until the response headers have arrived.
     base::duration pause{};    ///< Longest pause between two parts of the body.
     base::duration longest{};  ///< For the whole exchange, even if data keeps arriving.
-    /// Body size from which `is_large` is called: once, as soon as that many bytes have arrived.
-    std::size_t large_bytes = 0;
-    std::function<void()> is_large;
+    /// Body size from which `on_large_body` is called: once, as soon as that many bytes have
+    /// arrived.
+    std::size_t large_body_bytes = 0;
+    std::function<void()> on_large_body;
 };
 
 /// Use it from the event loop's thread only; it must outlive its streams. Cancelling a coroutine in
--- a/src/ferryroad/http/client_exchange.cpp
+++ b/src/ferryroad/http/client_exchange.cpp
@@ -260,7 +260,7 @@
     link_->throw_if_cancelled(failure);
     if (link_->is_expired()) {
         return {error_code::timed_out,
-                "no complete response from " + address_.to_string() + " before the deadline"};
+                "no complete response before the deadline from " + address_.to_string()};
     }
     return {error_code::connection_lost,
             "connection to " + address_.to_string() + " lost: " + failure.message()};
@@ -333,9 +333,10 @@
     answer.body = current.decoder().take_body();
     bool large_reported = false;
     for (;;) {
-        if (!large_reported && options.is_large && answer.body.size() >= options.large_bytes) {
+        if (!large_reported && options.on_large_body &&
+            answer.body.size() >= options.large_body_bytes) {
             large_reported = true;
-            options.is_large();
+            options.on_large_body();
         }
         if (current.is_complete()) {
             co_return answer;
--- a/test/http/cancel_test.cpp
+++ b/test/http/cancel_test.cpp
@@ -28,7 +28,7 @@
 struct tally {
     int matching = 0;
     int of_other_requests = 0;
-    int timed_out_requests = 0;  ///< Timed out while connecting or waiting for the response.
+    int past_deadline = 0;  ///< Timed out while connecting or waiting for the response.
     int cancelled = 0;
     int other = 0;
 };
@@ -45,9 +45,9 @@
         co_return;
     }
     const http::error_code code = answer.error().code;
-    const bool timed_out =
+    const bool past_deadline =
         code == http::error_code::timed_out || code == http::error_code::connect_failed;
-    ++(timed_out ? counts.timed_out_requests : counts.other);
+    ++(past_deadline ? counts.past_deadline : counts.other);
 }
 
 /// Sends requests one after another over one pool. One third has a timeout that some of them
@@ -152,7 +152,7 @@
     const tally counts = send_with_limits_and_cancellation();
     cr_assert_eq(counts.of_other_requests, 0);
     cr_assert_eq(counts.other, 0, "%d requests failed otherwise", counts.other);
-    cr_assert_eq(counts.matching + counts.timed_out_requests + counts.cancelled, requests);
+    cr_assert_eq(counts.matching + counts.past_deadline + counts.cancelled, requests);
     cr_assert_geq(counts.matching, requests / 3);
 }
 
--- a/test/http/client_relay_test.cpp
+++ b/test/http/client_relay_test.cpp
@@ -157,7 +157,7 @@
     cr_assert_eq(call_count, 0);
 }
 
-Test(client_relay, truncated_bodies_are_errors) {
+Test(client_relay, complete_and_truncated_bodies_are_distinguished) {
     for (const answer_row& row : rows) {
         ferryroad::test::loopback loop;
         cr_assert(loop.run([&] { return check(loop, row); }), "%s", row.name);
