--- a/src/ferryroad/engine/http_client.cpp
+++ b/src/ferryroad/engine/http_client.cpp
@@ -14,10 +14,10 @@
 namespace {
 
 constexpr unsigned status_ok = 200;
-/// A stream resumed has no deadline of its own here: silence ends it.
-constexpr base::duration no_deadline = std::chrono::hours(24);
+/// A resumed stream has no request deadline; only the limits on silence between events end it.
+constexpr base::duration resumed_stream_deadline = std::chrono::hours(24);
 
-error from_http(const http::error& failure) {
+error to_engine_error(const http::error& failure) {
     switch (failure.code) {
         case http::error_code::connect_failed:
         case http::error_code::withheld:
@@ -33,11 +33,12 @@
     return {error_code::protocol_violation, proof::unknown, failure.message, std::nullopt};
 }
 
-error no_time_left() {
-    return {error_code::timed_out, proof::not_sent, "no time left to send it", std::nullopt};
+error deadline_passed() {
+    return {error_code::timed_out, proof::not_sent,
+            "request deadline passed before the request was sent", std::nullopt};
 }
 
-http::request post(std::string_view path, std::string body) {
+http::request make_post(std::string_view path, std::string body) {
     http::request message;
     message.method = "POST";
     message.target = path;
@@ -47,13 +48,13 @@
     return message;
 }
 
-http::request get(std::string target) {
+http::request make_get(std::string target) {
     http::request message;
     message.target = std::move(target);
     return message;
 }
 
-http::request application_message(application_request request) {
+http::request make_application_request(application_request request) {
     http::request message;
     const auto add = [&message](std::string_view name, std::string value) {
         message.headers.add(std::string(name), std::move(value));
@@ -84,76 +85,81 @@
     return base::incarnation(value);
 }
 
-/// Whether the answer is the one to this attempt, from the process that was meant.
+/// Converts an application's response after checking that it belongs to `attempt` and comes from
+/// incarnation `expected`; otherwise returns the engine's error or `protocol_violation`.
 result<application_answer> check_application(http::response answer, const base::attempt_id& attempt,
                                              base::incarnation expected) {
     if (answer.headers.find(protocol::execution_header)) {
         return protocol::decode_error(answer.status, answer.body);
     }
-    const bool own = answer.headers.find(protocol::attempt_id_header) == attempt.value;
-    const base::incarnation process = incarnation_of(answer.headers);
-    if (!own || process != expected) {
+    const bool same_attempt = answer.headers.find(protocol::attempt_id_header) == attempt.value;
+    const base::incarnation incarnation = incarnation_of(answer.headers);
+    if (!same_attempt || incarnation != expected) {
         return error{error_code::protocol_violation, proof::unknown,
-                     "an answer to another attempt or from another process", std::nullopt};
+                     "response belongs to another attempt or comes from another engine incarnation",
+                     std::nullopt};
     }
     application_answer accepted;
-    accepted.incarnation = process;
+    accepted.incarnation = incarnation;
     accepted.status = answer.status;
     accepted.content_type = answer.headers.find(protocol::content_type_header).value_or("");
     accepted.body = std::move(answer.body);
     return accepted;
 }
 
-/// Turns a decoder's answer into this layer's own.
+/// Converts a decoder's result, with its error mapped to an engine error.
 template <typename T>
 result<T> from_decoded(protocol::decoded<T> value) {
     if (value.has_error()) {
-        return from_http(value.error());
+        return to_engine_error(value.error());
     }
     return std::move(*value);
 }
 
-/// Reads what follows the end, so that the connection can be used again.
-runtime::task<void> read_out(std::unique_ptr<http::response_stream> stream, base::duration limit) {
+/// Reads the rest of the response body after the `end` event, so that the connection can be
+/// reused.
+runtime::task<void> drain_response(std::unique_ptr<http::response_stream> stream,
+                                   base::duration limit) {
     [[maybe_unused]] const auto rest = co_await stream->read_rest(limit);
 }
 
 }  // namespace
 
-/// Reads a stream's lines, checks them and turns them into events.
+/// Reads a stream's lines, decodes and validates them, and returns them as events.
 class http_client::http_stream final : public generation_stream {
   public:
     http_stream(http_client& owner, std::unique_ptr<http::response_stream> lines,
                 const stream_expectation& expected)
         : owner_(owner),
           lines_(std::move(lines)),
-          checker_(expected.attempt, expected.process, expected.first_token),
+          checker_(expected.attempt, expected.incarnation, expected.first_token),
           deadline_(expected.deadline) {}
 
     runtime::task<result<stream_event>> next() override {
-        const base::duration limit = limit_for_next();
+        const base::duration limit = next_event_limit();
         auto line = co_await lines_->next_line(limit);
         if (line.has_error()) {
-            co_return from_http(line.error());
+            co_return to_engine_error(line.error());
         }
         if (!line->has_value()) {
             co_return error{error_code::connection_lost, proof::unknown,
-                            "the body ended before the stream's end", std::nullopt};
+                            "response body ended before the stream's end event", std::nullopt};
         }
         const auto decoded = protocol::decode_line(**line);
         if (decoded.has_error()) {
-            co_return from_http(decoded.error());
+            co_return to_engine_error(decoded.error());
         }
         auto event = checker_.accept(*decoded);
         if (event.has_value() && std::holds_alternative<stream_end>(*event)) {
             owner_.scheduler_.spawn("engine.read_out",
-                                    read_out(std::move(lines_), owner_.limits_.control));
+                                    drain_response(std::move(lines_), owner_.limits_.control));
         }
         co_return event;
     }
 
   private:
-    base::duration limit_for_next() const {
+    /// @return the allowed silence before the next event, capped by the time to the deadline.
+    base::duration next_event_limit() const {
         const tunables& limits = owner_.limits_;
         const base::duration silence =
             checker_.started() ? limits.token_silence : limits.start_silence;
@@ -171,11 +177,11 @@
     : scheduler_(scheduler), connections_(connections), limits_(limits) {}
 
 runtime::task<result<std::unique_ptr<generation_stream>>> http_client::open_stream(
-    base::endpoint address, http::request message, base::duration limit, http::resend again,
+    base::endpoint address, http::request message, base::duration limit, http::resend resend_policy,
     stream_expectation expected) {
-    auto opened = co_await connections_.open(address, std::move(message), limit, again);
+    auto opened = co_await connections_.open(address, std::move(message), limit, resend_policy);
     if (opened.has_error()) {
-        co_return from_http(opened.error());
+        co_return to_engine_error(opened.error());
     }
     std::unique_ptr<http::response_stream> lines = std::move(*opened);
     if (lines->status() == status_ok) {
@@ -183,7 +189,7 @@
     }
     const auto body = co_await lines->read_rest(limits_.control);
     if (body.has_error()) {
-        co_return from_http(body.error());
+        co_return to_engine_error(body.error());
     }
     co_return protocol::decode_error(lines->status(), *body);
 }
@@ -191,15 +197,15 @@
 runtime::task<result<std::unique_ptr<generation_stream>>> http_client::generate(
     const engine_target& target, generation_request request) {
     if (request.time_left <= base::duration::zero()) {
-        co_return no_time_left();
+        co_return deadline_passed();
     }
     const base::endpoint address = target.address;
     stream_expectation expected;
     expected.attempt = request.attempt;
-    expected.process = request.expected_incarnation;
+    expected.incarnation = request.expected_incarnation;
     expected.first_token = request.first_token;
     expected.deadline = scheduler_.now() + request.time_left;
-    http::request message = post(protocol::generate_path, protocol::encode(request));
+    http::request message = make_post(protocol::generate_path, protocol::encode(request));
     const base::duration limit = std::min(limits_.admission, request.time_left);
     co_return co_await open_stream(address, std::move(message), limit, http::resend::forbidden,
                                    std::move(expected));
@@ -214,10 +220,10 @@
     request.expected_incarnation = target.incarnation;
     stream_expectation expected;
     expected.attempt = std::move(attempt);
-    expected.process = target.incarnation;
+    expected.incarnation = target.incarnation;
     expected.first_token = first_token;
-    expected.deadline = scheduler_.now() + no_deadline;
-    http::request message = post(protocol::resume_path, protocol::encode(request));
+    expected.deadline = scheduler_.now() + resumed_stream_deadline;
+    http::request message = make_post(protocol::resume_path, protocol::encode(request));
     co_return co_await open_stream(address, std::move(message), limits_.admission,
                                    http::resend::allowed, std::move(expected));
 }
@@ -228,7 +234,7 @@
     auto answer =
         co_await connections_.send(address, std::move(message), limit, http::resend::allowed);
     if (answer.has_error()) {
-        co_return from_http(answer.error());
+        co_return to_engine_error(answer.error());
     }
     if (answer->status != status_ok) {
         co_return protocol::decode_error(answer->status, answer->body);
@@ -239,7 +245,7 @@
 runtime::task<result<void>> http_client::cancel(const engine_target& target,
                                                 base::attempt_id attempt) {
     const protocol::cancel_request request{std::move(attempt)};
-    http::request message = post(protocol::cancel_path, protocol::encode(request));
+    http::request message = make_post(protocol::cancel_path, protocol::encode(request));
     const auto body = co_await exchange(target.address, std::move(message), limits_.control);
     if (body.has_error()) {
         co_return body.error();
@@ -251,22 +257,22 @@
     const engine_target& target, application_request request) {
     const base::duration limit = request.time_left;
     if (limit <= base::duration::zero()) {
-        co_return no_time_left();
+        co_return deadline_passed();
     }
     const base::endpoint address = target.address;
     const base::attempt_id attempt = request.attempt;
     const base::incarnation expected = request.expected_incarnation;
-    http::request message = application_message(std::move(request));
+    http::request message = make_application_request(std::move(request));
     auto answer =
         co_await connections_.send(address, std::move(message), limit, http::resend::forbidden);
     if (answer.has_error()) {
-        co_return from_http(answer.error());
+        co_return to_engine_error(answer.error());
     }
     co_return check_application(std::move(*answer), attempt, expected);
 }
 
 runtime::task<result<load_report>> http_client::read_load(const base::endpoint& address) {
-    http::request message = get(std::string(protocol::load_path));
+    http::request message = make_get(std::string(protocol::load_path));
     auto body = co_await exchange(address, std::move(message), limits_.control);
     if (body.has_error()) {
         co_return body.error();
@@ -277,10 +283,10 @@
 runtime::task<result<cache_event_batch>> http_client::read_events(const engine_target& target,
                                                                   std::uint64_t from_sequence,
                                                                   base::duration wait) {
-    http::request message = get(std::string(protocol::events_path) +
-                                "?incarnation=" + std::to_string(target.incarnation.value) +
-                                "&from=" + std::to_string(from_sequence) +
-                                "&wait_ms=" + std::to_string(base::to_milliseconds(wait)));
+    http::request message = make_get(std::string(protocol::events_path) +
+                                     "?incarnation=" + std::to_string(target.incarnation.value) +
+                                     "&from=" + std::to_string(from_sequence) +
+                                     "&wait_ms=" + std::to_string(base::to_milliseconds(wait)));
     auto body = co_await exchange(target.address, std::move(message), wait + limits_.control);
     if (body.has_error()) {
         co_return body.error();
@@ -291,7 +297,7 @@
 runtime::task<result<import_answer>> http_client::import_state(const engine_target& target,
                                                                import_request request) {
     const protocol::import_call call{target.incarnation, std::move(request)};
-    http::request message = post(protocol::import_path, protocol::encode(call));
+    http::request message = make_post(protocol::import_path, protocol::encode(call));
     auto body = co_await exchange(target.address, std::move(message), limits_.import);
     if (body.has_error()) {
         co_return body.error();
@@ -302,7 +308,7 @@
 runtime::task<result<void>> http_client::order(const engine_target& target,
                                                base::fencing_token token, engine_order order) {
     const protocol::order_call call{target.incarnation, token, std::move(order)};
-    http::request message = post(protocol::orders_path, protocol::encode(call));
+    http::request message = make_post(protocol::orders_path, protocol::encode(call));
     const auto body = co_await exchange(target.address, std::move(message), limits_.control);
     if (body.has_error()) {
         co_return body.error();
--- a/src/ferryroad/engine/http_client.hpp
+++ b/src/ferryroad/engine/http_client.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The port to engines over HTTP with JSON (docs/reference/engine-protocol.md).
+/// Engine client that speaks JSON over HTTP (docs/reference/engine-protocol.md).
 #pragma once
 
 #include "ferryroad/engine/client.hpp"
@@ -12,10 +12,11 @@
 
 namespace ferryroad::engine {
 
-/// Used from the event loop's thread; outlives its streams.
+/// Implements `client` on an HTTP client. Must be used from the event loop's thread and must
+/// outlive the streams that it returns.
 class http_client final : public client {
   public:
-    /// @param scheduler and `connections` are borrowed and outlive this.
+    /// @param scheduler and `connections` must outlive this object.
     http_client(runtime::scheduler& scheduler, http::client& connections, tunables limits = {});
 
     runtime::task<result<std::unique_ptr<generation_stream>>> generate(
@@ -36,19 +37,22 @@
                                       engine_order order) override;
 
   private:
-    /// What a stream's events are checked against.
+    /// The attempt, process and first token that a stream's events must match.
     struct stream_expectation {
         base::attempt_id attempt;
-        base::incarnation process;
+        base::incarnation incarnation;
         std::uint32_t first_token = 0;
         base::monotonic_time deadline{};
     };
     class http_stream;
 
+    /// Sends a request whose response is a stream of events.
+    /// @param limit time allowed until the response headers arrive.
     runtime::task<result<std::unique_ptr<generation_stream>>> open_stream(
-        base::endpoint address, http::request message, base::duration limit, http::resend again,
-        stream_expectation expected);
-    /// One exchange that may be repeated. @return the body of an answer with status 200.
+        base::endpoint address, http::request message, base::duration limit,
+        http::resend resend_policy, stream_expectation expected);
+    /// Sends an idempotent request, which the HTTP client may resend on a new connection.
+    /// @return the body of a response with status 200.
     runtime::task<result<std::string>> exchange(base::endpoint address, http::request message,
                                                 base::duration limit);
 
