--- a/src/ferryroad/engine/errors.hpp
+++ b/src/ferryroad/engine/errors.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Errors of talking to an engine. Each says what it proves about execution.
+/// Errors of engine calls. Each error states what it proves about execution of the request.
 #pragma once
 
 #include "ferryroad/base/time.hpp"
@@ -9,31 +9,34 @@
 
 namespace ferryroad::engine {
 
+/// Why an engine call failed.
 enum class error_code {
-    connect_failed,       ///< No connection: nothing was sent.
-    refused_incarnation,  ///< The engine is another process than expected.
-    refused_version,      ///< Other model, weights version or adapter than expected.
-    refused_overloaded,   ///< Its queue is full.
-    refused_leaving,      ///< It takes no new work.
-    refused_bad_request,  ///< It can't ever run this (too long, malformed).
-    refused_stale_token,  ///< An order carried a fencing token older than one seen.
-    refused_import,       ///< Exported state didn't match namespace or checksum.
-    not_found,            ///< No such attempt (to resume or cancel), or no such state.
-    connection_lost,      ///< Cut after at least one byte was sent.
-    timed_out,            ///< No answer in time after at least one byte was sent.
-    protocol_violation,   ///< The answer made no sense, or was for another attempt.
-    failed                ///< The engine ran it and reports a failure.
+    connect_failed,       ///< No connection could be opened; nothing was sent.
+    refused_incarnation,  ///< The engine process has another incarnation than expected.
+    refused_version,      ///< The engine serves another model, weights version or adapter.
+    refused_overloaded,   ///< The engine's queue is full.
+    refused_leaving,      ///< The engine is shutting down and admits no new work.
+    refused_bad_request,  ///< The engine can never run the request (too long, malformed).
+    refused_stale_token,  ///< The engine has already seen a higher fencing token.
+    refused_import,       ///< The exported state didn't match the namespace or the checksum.
+    not_found,            ///< The engine doesn't know the attempt or the exported state.
+    connection_lost,      ///< The connection broke after at least one byte was sent.
+    timed_out,            ///< No response in time after at least one byte was sent, or
+                          ///< no time left to send (proof `not_sent`).
+    protocol_violation,   ///< The response was invalid or belonged to another attempt.
+    failed                ///< The engine ran the request and reports a failure.
 };
 
-/// What an error proves.
+/// What an error proves about execution: the request never left the router, the engine did not
+/// run it, or the engine may have run it.
 enum class proof { not_sent, not_run, unknown };
 
-/// An engine layer's error.
+/// A failed engine call.
 struct error {
     error_code code{};
     proof proves = proof::unknown;
-    std::string message;                        ///< For logs; never shown to callers whole.
-    std::optional<base::duration> retry_after;  ///< When the engine itself said so.
+    std::string message;                        ///< For logs; never passed to callers in full.
+    std::optional<base::duration> retry_after;  ///< Present if the engine asked for a delay.
 };
 
 }  // namespace ferryroad::engine
--- a/src/ferryroad/engine/protocol/answers.cpp
+++ b/src/ferryroad/engine/protocol/answers.cpp
@@ -60,10 +60,10 @@
     return load;
 }
 
-load_report read_inner_load(http::object_reader& reader) {
+load_report read_load_member(http::object_reader& reader) {
     http::object_reader inner = read_object(reader, "load");
     load_report load = read_load(inner);
-    adopt_fault(reader, "load", inner);
+    propagate_fault(reader, "load", inner);
     return load;
 }
 
@@ -108,10 +108,10 @@
     line["load"] = load_json(end.load);
 }
 
-void add_event(json::object& line, const stream_break& broken) {
+void add_event(json::object& line, const stream_break& failure) {
     line["type"] = "error";
-    line["code"] = broken.code;
-    line["message"] = broken.message;
+    line["code"] = failure.code;
+    line["message"] = failure.message;
 }
 
 stream_started read_started(http::object_reader& reader) {
@@ -119,7 +119,7 @@
     started.incarnation = read_id<base::incarnation>(reader, "incarnation");
     started.cached_pieces = read_count(reader, "cached_pieces");
     started.total_pieces = read_count(reader, "total_pieces");
-    started.load = read_inner_load(reader);
+    started.load = read_load_member(reader);
     return started;
 }
 
@@ -127,7 +127,7 @@
     stream_end end;
     end.reason = read_name(reader, "reason", finish_names);
     end.tokens = read_count(reader, "tokens");
-    end.load = read_inner_load(reader);
+    end.load = read_load_member(reader);
     return end;
 }
 
@@ -190,7 +190,7 @@
         for (const json::value& value : reader.list("events")) {
             http::object_reader inner(value, "events");
             batch.events.push_back(read_event(inner));
-            adopt_fault(reader, "events", inner);
+            propagate_fault(reader, "events", inner);
         }
         return batch;
     });
--- a/src/ferryroad/engine/protocol/error_codes.cpp
+++ b/src/ferryroad/engine/protocol/error_codes.cpp
@@ -1,4 +1,4 @@
-/// Errors on the wire: code, status and what the body proves about execution.
+/// Encoding of error responses: HTTP status, error code and proof about execution.
 #include "ferryroad/engine/protocol/answers.hpp"
 
 #include <boost/json/serialize.hpp>
@@ -12,6 +12,7 @@
 
 namespace json = boost::json;
 
+/// An error code with its name on the wire and its HTTP status.
 struct error_row {
     error_code code;
     std::string_view name;
@@ -32,7 +33,7 @@
 
 constexpr std::string_view not_run_name = "not-run";
 
-error violation(std::string message) {
+error protocol_error(std::string message) {
     return {error_code::protocol_violation, proof::unknown, std::move(message), std::nullopt};
 }
 
@@ -55,10 +56,10 @@
 }
 
 error decode_error(unsigned status, std::string_view body) {
-    const std::string seen = "status " + std::to_string(status);
+    const std::string status_text = "status " + std::to_string(status);
     const auto value = http::parse_json(body);
     if (value.has_error()) {
-        return violation(seen + ", body: " + value.error().message);
+        return protocol_error(status_text + " with an unreadable body: " + value.error().message);
     }
     http::object_reader outer(*value);
     http::object_reader reader = read_object(outer, "error");
@@ -66,11 +67,12 @@
     const std::string execution = reader.text("execution");
     const bool has_retry = reader.find("retry_after_ms") != nullptr;
     const base::duration retry_after = read_milliseconds(reader, "retry_after_ms");
-    adopt_fault(outer, "error", reader);
+    propagate_fault(outer, "error", reader);
     const auto* row = std::find_if(std::begin(error_rows), std::end(error_rows),
                                    [&](const error_row& known) { return known.name == code; });
     if (outer.fault() || row == std::end(error_rows)) {
-        return violation(seen + ", error code: " + code);
+        return protocol_error(status_text +
+                              " with a malformed error or an unknown error code: " + code);
     }
     error failure;
     failure.code = row->code;
--- a/src/ferryroad/engine/protocol/fields.cpp
+++ b/src/ferryroad/engine/protocol/fields.cpp
@@ -9,8 +9,8 @@
 
 constexpr std::size_t piece_digits = 16;
 constexpr int hex_base = 16;
-/// Longer times in messages are a fault: nothing waits for a month.
-constexpr std::uint64_t largest_milliseconds = 31ULL * 24 * 3600 * 1000;
+/// Durations above a month are rejected; no timeout or age of the protocol is that long.
+constexpr std::uint64_t max_milliseconds = 31ULL * 24 * 3600 * 1000;
 
 const boost::json::value& empty_object() {
     static const boost::json::value empty = boost::json::object{};
@@ -40,7 +40,7 @@
 
 base::duration read_milliseconds(http::object_reader& reader, std::string_view field) {
     const std::uint64_t number = reader.unsigned_or(field, 0);
-    if (number > largest_milliseconds) {
+    if (number > max_milliseconds) {
         reader.fail(field, "milliseconds, at most a month");
         return {};
     }
@@ -61,7 +61,7 @@
     scope.model = read_id<base::model_name>(inner, "model");
     scope.version = read_id<base::weights_version>(inner, "version");
     scope.adapter.value = inner.text_or("adapter", {});
-    adopt_fault(reader, field, inner);
+    propagate_fault(reader, field, inner);
     return scope;
 }
 
@@ -108,8 +108,8 @@
     return pieces;
 }
 
-void adopt_fault(http::object_reader& reader, std::string_view field,
-                 const http::object_reader& inner) {
+void propagate_fault(http::object_reader& reader, std::string_view field,
+                     const http::object_reader& inner) {
     if (inner.fault()) {
         reader.fail(field, inner.fault()->message);
     }
--- a/src/ferryroad/engine/protocol/fields.hpp
+++ b/src/ferryroad/engine/protocol/fields.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Pieces of the engine protocol's JSON (docs/reference/engine-protocol.md) that several
-/// messages share.
+/// JSON encoding of the fields that several messages of the engine protocol share
+/// (docs/reference/engine-protocol.md).
 #pragma once
 
 #include "ferryroad/core/prefix/pieces.hpp"
@@ -19,7 +19,7 @@
 
 namespace ferryroad::engine::protocol {
 
-/// A decoded message or what was wrong with it.
+/// A decoded message, or the reason why it couldn't be decoded.
 template <typename T>
 using decoded = runtime::result<T, http::error>;
 
@@ -54,7 +54,7 @@
     {cache_change::evicted, "evicted"},
 }};
 
-/// @return the name of `value`, which is in the table.
+/// @return the JSON name of `value`, or an empty string if the table doesn't list it.
 template <typename Table, typename Enum>
 std::string_view name_in(const Table& table, Enum value) {
     for (const auto& row : table) {
@@ -65,6 +65,7 @@
     return {};
 }
 
+/// @return the enumerator with that JSON name, or nothing if the table doesn't list it.
 template <typename Enum, std::size_t Size>
 std::optional<Enum> value_in(const std::array<named_value<Enum>, Size>& table,
                              std::string_view name) {
@@ -76,7 +77,7 @@
     return std::nullopt;
 }
 
-/// Reads a field that holds one of the table's names; anything else is a fault.
+/// Reads a field that holds one of the table's names. Any other content is a fault of `reader`.
 template <typename Enum, std::size_t Size>
 Enum read_name(http::object_reader& reader, std::string_view field,
                const std::array<named_value<Enum>, Size>& table) {
@@ -88,12 +89,14 @@
     return value.value_or(table.front().value);
 }
 
-/// Reads an unsigned number that fits 32 bits.
+/// Reads an unsigned integer. A value above 32 bits is a fault of `reader`.
 std::uint32_t read_count(http::object_reader& reader, std::string_view field);
 
-/// Reads a time in milliseconds.
+/// Reads a duration in milliseconds; 0 if the field is missing. More than a month is a fault of
+/// `reader`.
 base::duration read_milliseconds(http::object_reader& reader, std::string_view field);
 
+/// Reads a strong id from a JSON string or unsigned number, depending on its representation.
 template <typename Id>
 Id read_id(http::object_reader& reader, std::string_view field) {
     if constexpr (std::is_same_v<typename Id::representation, std::string>) {
@@ -106,20 +109,22 @@
 boost::json::object scope_json(const core::prefix::cache_namespace& scope);
 core::prefix::cache_namespace read_scope(http::object_reader& reader, std::string_view field);
 
-/// @return 16 lower-case hex digits.
+/// @return the hash as 16 lower-case hex digits.
 std::string piece_text(base::piece_hash piece);
 base::piece_hash read_piece(http::object_reader& reader, std::string_view field);
 boost::json::array pieces_json(const core::prefix::piece_chain& pieces);
 core::prefix::piece_chain read_pieces(http::object_reader& reader, std::string_view field);
 
-/// Passes a fault inside the object `field` on to the reader of the object around it.
-void adopt_fault(http::object_reader& reader, std::string_view field,
-                 const http::object_reader& inner);
+/// Reports the fault of `inner`, the reader of the object in `field`, to the reader of the
+/// enclosing object.
+void propagate_fault(http::object_reader& reader, std::string_view field,
+                     const http::object_reader& inner);
 
-/// @return the object's reader, over an empty one where `field` is missing (then a fault).
+/// @return a reader of the object in `field`. If the field is missing, this is a fault of `reader`
+/// and the result reads an empty object.
 http::object_reader read_object(http::object_reader& reader, std::string_view field);
 
-/// Ends a decoder: the fault if any read failed, else the value.
+/// @return the fault of `reader` if any read failed, otherwise `value`.
 template <typename T>
 decoded<T> finish(const http::object_reader& reader, T value) {
     if (reader.fault()) {
@@ -128,7 +133,7 @@
     return value;
 }
 
-/// Parses `body` and has `read` take its fields.
+/// Parses `body` as a JSON object and decodes its fields with `read`.
 template <typename T, typename Read>
 decoded<T> decode_with(std::string_view body, Read read) {
     const auto value = http::parse_json(body);
--- a/src/ferryroad/engine/protocol/headers.hpp
+++ b/src/ferryroad/engine/protocol/headers.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Names of headers and paths of the engine protocol.
+/// Header names, paths and content types of the engine protocol.
 #pragma once
 
 #include <string_view>
@@ -14,7 +14,7 @@
 inline constexpr std::string_view export_path = "/v1/state/export";
 inline constexpr std::string_view import_path = "/v1/state/import";
 inline constexpr std::string_view orders_path = "/v1/orders";
-/// Before the caller's path on the way to an application engine.
+/// Prepended to the caller's path in requests to an application engine.
 inline constexpr std::string_view application_prefix = "/app";
 
 inline constexpr std::string_view request_id_header = "Ferryroad-Request-Id";
--- a/src/ferryroad/engine/protocol/requests.cpp
+++ b/src/ferryroad/engine/protocol/requests.cpp
@@ -53,7 +53,7 @@
     }
     source.address = address.value_or(base::endpoint{});
     source.incarnation = read_id<base::incarnation>(inner, "incarnation");
-    adopt_fault(reader, "source", inner);
+    propagate_fault(reader, "source", inner);
     return source;
 }
 
@@ -170,7 +170,7 @@
         call.token = read_id<base::fencing_token>(reader, "fencing_token");
         http::object_reader inner = read_object(reader, "order");
         call.order = read_order(inner);
-        adopt_fault(reader, "order", inner);
+        propagate_fault(reader, "order", inner);
         return call;
     });
 }
--- a/src/ferryroad/engine/protocol/requests.hpp
+++ b/src/ferryroad/engine/protocol/requests.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Bodies of requests to engines, both ways: a router encodes, an engine decodes.
+/// Request bodies of the engine protocol. Routers encode them and engines decode them.
 #pragma once
 
 #include "ferryroad/engine/protocol/fields.hpp"
@@ -10,26 +10,31 @@
 
 namespace ferryroad::engine::protocol {
 
+/// Reopens the stream of an attempt from `first_token` on.
 struct resume_request {
     base::attempt_id attempt;
     std::uint32_t first_token = 0;
     base::incarnation expected_incarnation;
 };
 
+/// Cancels an attempt.
 struct cancel_request {
     base::attempt_id attempt;
 };
 
+/// Asks an engine for the cached state of the leading pieces of a prompt.
 struct export_request {
     core::prefix::cache_namespace scope;
     core::prefix::piece_chain pieces;
 };
 
+/// Makes an engine import cached state from another engine.
 struct import_call {
     base::incarnation expected_incarnation;
     import_request request;
 };
 
+/// An administrative order with the fencing token of its sender.
 struct order_call {
     base::incarnation expected_incarnation;
     base::fencing_token token;
--- a/test/engine/engine_fixture.hpp
+++ b/test/engine/engine_fixture.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Emulated engines on loopback and a client for them, in one event loop.
+/// Fixture with emulated engines on loopback and an engine client, all in one event loop.
 #pragma once
 
 #include "emulator/engine/application_service.hpp"
@@ -21,10 +21,11 @@
 
 inline const core::prefix::cache_namespace scope{
     base::tenant_name("aire"), base::model_name("m1"), base::weights_version("v1"), {}};
-inline constexpr std::uint64_t first_process = 7;
+inline constexpr std::uint64_t first_incarnation = 7;
 
-/// Fast, but with steps long enough that a fault falls into the middle of a stream.
-inline emulator::engine_model_settings quick_engine() {
+/// Settings of a fast engine whose decode steps are still long enough for a fault to hit the middle
+/// of a stream.
+inline emulator::engine_model_settings fast_engine_settings() {
     emulator::engine_model_settings settings;
     settings.name = base::engine_name("e1");
     settings.model = scope.model;
@@ -39,18 +40,19 @@
     return settings;
 }
 
-/// Limits that a busy machine doesn't run into.
+/// Timeouts long enough not to expire on a heavily loaded machine.
 inline tunables generous_limits() {
     return {.admission = 20s, .start_silence = 20s, .token_silence = 20s, .control = 20s};
 }
 
-/// Short limits where a fault is meant to run into them.
+/// Timeouts for tests in which a fault must make them expire.
 inline tunables short_limits() {
     return {.admission = 150ms, .start_silence = 150ms, .token_silence = 150ms, .control = 150ms};
 }
 
-struct engine_bench {
-    /// Starts an engine. @return how to reach it.
+struct engine_fixture {
+    /// Starts an engine.
+    /// @return the target to address it with.
     engine_target start(std::unique_ptr<emulator::engine_service> service) {
         servers.push_back(
             std::make_unique<emulator::engine_server>(loop.scheduler, std::move(service)));
@@ -60,14 +62,15 @@
         target.incarnation = servers.back()->service().process();
         return target;
     }
-    engine_target start_model(emulator::engine_model_settings settings = quick_engine()) {
+    engine_target start_model(emulator::engine_model_settings settings = fast_engine_settings()) {
         return start(std::make_unique<emulator::model_service>(
-            loop.scheduler, connections, std::move(settings), base::incarnation(first_process)));
+            loop.scheduler, connections, std::move(settings),
+            base::incarnation(first_incarnation)));
     }
     engine_target start_application() {
         return start(std::make_unique<emulator::application_service>(
             loop.scheduler, emulator::application_model_settings{},
-            base::incarnation(first_process)));
+            base::incarnation(first_incarnation)));
     }
     emulator::engine_service& service(std::size_t index = 0) { return servers[index]->service(); }
 
@@ -77,10 +80,11 @@
     std::vector<std::unique_ptr<emulator::engine_server>> servers;
 };
 
-/// Runs a test's body to its end. (GCC 12 mixes up coroutine lambdas within Criterion's tests.)
-inline void run_on_bench(runtime::task<void> (*body)(engine_bench&)) {
-    engine_bench bench;
-    cr_assert(bench.loop.run([&] { return body(bench); }), "the test did not come to its end");
+/// Runs a test body to completion. Test bodies are functions because GCC 12 mishandles coroutine
+/// lambdas inside Criterion tests.
+inline void run_with_fixture(runtime::task<void> (*body)(engine_fixture&)) {
+    engine_fixture fixture;
+    cr_assert(fixture.loop.run([&] { return body(fixture); }), "the test body did not complete");
 }
 
 inline generation_request request_of(const std::string& attempt,
@@ -89,14 +93,14 @@
     request.request = base::request_id("r-" + attempt);
     request.attempt = base::attempt_id(attempt);
     request.scope = scope;
-    request.expected_incarnation = base::incarnation(first_process);
+    request.expected_incarnation = base::incarnation(first_incarnation);
     request.prompt = std::make_shared<const std::string>(prompt);
     request.max_tokens = 5;
     request.time_left = 20s;
     return request;
 }
 
-/// What a stream came to.
+/// Everything read from one stream.
 struct stream_outcome {
     std::vector<std::uint32_t> indexes;
     std::string text;
@@ -105,28 +109,28 @@
     std::optional<error> failure;
 };
 
-/// Reads events until the end, an error, or so many tokens.
+/// Reads events until the end event, an error, or `tokens` tokens.
 inline runtime::task<stream_outcome> read_stream(result<std::unique_ptr<generation_stream>>& stream,
                                                  std::size_t tokens = 1000) {
-    stream_outcome heard;
+    stream_outcome outcome;
     if (stream.has_error()) {
-        heard.failure = stream.error();
-        co_return heard;
+        outcome.failure = stream.error();
+        co_return outcome;
     }
-    while (!heard.end && !heard.failure && heard.indexes.size() < tokens) {
+    while (!outcome.end && !outcome.failure && outcome.indexes.size() < tokens) {
         auto event = co_await (*stream)->next();
         if (event.has_error()) {
-            heard.failure = event.error();
+            outcome.failure = event.error();
         } else if (const auto* token = std::get_if<stream_token>(&*event)) {
-            heard.indexes.push_back(token->index);
-            heard.text += token->text;
+            outcome.indexes.push_back(token->index);
+            outcome.text += token->text;
         } else if (const auto* started = std::get_if<stream_started>(&*event)) {
-            heard.started = *started;
+            outcome.started = *started;
         } else {
-            heard.end = std::get<stream_end>(*event);
+            outcome.end = std::get<stream_end>(*event);
         }
     }
-    co_return heard;
+    co_return outcome;
 }
 
 }  // namespace ferryroad::engine::test
--- a/test/engine/protocol_test.cpp
+++ b/test/engine/protocol_test.cpp
@@ -1,4 +1,4 @@
-/// The wire as docs/reference/engine-protocol.md has it, read and written; bad input by table.
+/// Round trips of the bodies documented in docs/reference/engine-protocol.md, and malformed bodies.
 #include "ferryroad/engine/protocol/answers.hpp"
 #include "ferryroad/engine/protocol/requests.hpp"
 
@@ -81,14 +81,14 @@
     return protocol::decode_line(row.body).has_error();
 }
 
-/// Both texts as JSON values, whose members have no order.
+/// Compares JSON values, so that the order of members doesn't matter.
 bool same_json(const std::string& left, const std::string& right) {
     return *http::parse_json(left) == *http::parse_json(right);
 }
 
 }  // namespace
 
-Test(engine_protocol, documented_bodies_are_read_and_written) {
+Test(engine_protocol, documented_bodies_round_trip) {
     const auto generation = protocol::decode_generation(generate_body);
     cr_assert(generation.has_value());
     cr_assert(generation->expected_incarnation.value == ~std::uint64_t{0});
@@ -110,7 +110,7 @@
     cr_assert(same_json(protocol::encode(*events), events_body));
 }
 
-Test(engine_protocol, errors_keep_code_proof_and_delay) {
+Test(engine_protocol, errors_keep_code_proof_and_retry_delay) {
     for (const error_code code :
          {error_code::refused_incarnation, error_code::refused_version,
           error_code::refused_overloaded, error_code::refused_leaving,
@@ -119,9 +119,9 @@
         for (const proof proves : {proof::not_run, proof::unknown}) {
             const error sent{code, proves, "why", std::chrono::milliseconds(250)};
             const protocol::error_answer answer = protocol::encode_error(sent);
-            const error heard = protocol::decode_error(answer.status, answer.body);
-            cr_assert(heard.code == code && heard.proves == proves);
-            cr_assert(heard.message == "why" && heard.retry_after == sent.retry_after);
+            const error decoded = protocol::decode_error(answer.status, answer.body);
+            cr_assert(decoded.code == code && decoded.proves == proves);
+            cr_assert(decoded.message == "why" && decoded.retry_after == sent.retry_after);
         }
     }
 }
