--- a/src/ferryroad/engine/stream_checker.cpp
+++ b/src/ferryroad/engine/stream_checker.cpp
@@ -41,8 +41,8 @@
 
 runtime::result<stream_event, error> stream_checker::accept_event(const stream_token& token) {
     if (!started_ || token.index != next_token_) {
-        return protocol_error("got token " + std::to_string(token.index) + ", expected token " +
-                              std::to_string(next_token_));
+        return protocol_error("received token " + std::to_string(token.index) + " where " +
+                              std::to_string(next_token_) + " was expected");
     }
     ++next_token_;
     return stream_event(token);
@@ -51,8 +51,8 @@
 runtime::result<stream_event, error> stream_checker::accept_event(const stream_end& end) {
     const bool cancelled = end.reason == finish_reason::cancelled;
     if ((!started_ && !cancelled) || end.tokens != next_token_) {
-        return protocol_error("end event counts " + std::to_string(end.tokens) +
-                              " tokens, expected " + std::to_string(next_token_));
+        return protocol_error("end event counts " + std::to_string(end.tokens) + " tokens where " +
+                              std::to_string(next_token_) + " were expected");
     }
     ended_ = true;
     return stream_event(end);
--- a/src/ferryroad/peer/asio_transport.cpp
+++ b/src/ferryroad/peer/asio_transport.cpp
@@ -26,27 +26,28 @@
 
 constexpr std::string_view component = "peer.transport";
 constexpr auto awaitable_tuple = asio::as_tuple(asio::use_awaitable);
-/// With port 0: a port that is free for TCP may be taken for UDP.
-constexpr int port_attempts = 32;
-/// Pause after a failed accept (no file descriptor left), so that it doesn't spin.
-constexpr base::duration accept_pause = std::chrono::milliseconds(100);
+/// Attempts to find a port when port 0 is given: a port that is free for TCP may be in use for UDP.
+constexpr int max_port_attempts = 32;
+/// Delay after a failed accept (such as no file descriptor left), to avoid a busy loop.
+constexpr base::duration accept_retry_delay = std::chrono::milliseconds(100);
 
-/// A connection waiting for its next call.
+/// A connection that is open for the next call.
 struct idle_connection {
     connection_pointer connection;
     base::monotonic_time since;
 };
 
-/// Keeps a connection in a set while a coroutine uses it, also if that is cancelled.
-class registration {
+/// Keeps a connection in a set for the lifetime of this object, so that it is removed also when the
+/// coroutine that uses it is cancelled.
+class connection_registration {
   public:
-    registration(std::set<connection_pointer>& set, connection_pointer connection)
+    connection_registration(std::set<connection_pointer>& set, connection_pointer connection)
         : set_(set), connection_(std::move(connection)) {
         set_.insert(connection_);
     }
-    ~registration() { set_.erase(connection_); }
-    registration(const registration&) = delete;
-    registration& operator=(const registration&) = delete;
+    ~connection_registration() { set_.erase(connection_); }
+    connection_registration(const connection_registration&) = delete;
+    connection_registration& operator=(const connection_registration&) = delete;
 
   private:
     std::set<connection_pointer>& set_;
@@ -54,7 +55,7 @@
 };
 
 template <typename Protocol>
-typename Protocol::endpoint native(const base::endpoint& address) {
+typename Protocol::endpoint to_asio(const base::endpoint& address) {
     return {asio::ip::make_address(address.address), address.port};
 }
 
@@ -71,7 +72,7 @@
     runtime::task<void> receive_datagrams();
     runtime::task<void> accept_connections();
     runtime::task<void> serve(connection_pointer connection);
-    runtime::task<bool> serve_one(connection_pointer connection);
+    runtime::task<bool> serve_call(connection_pointer connection);
     runtime::task<result<message_bytes>> exchange(connection_pointer connection,
                                                   message_bytes request);
     runtime::task<result<message_bytes>> call(base::endpoint to, message_bytes request,
@@ -86,7 +87,7 @@
     asio::ip::udp::socket datagrams;
     datagram_handler handle_datagram;
     call_handler handle_call;
-    transport_counters counted;
+    transport_counters counters;
     std::map<base::endpoint, std::vector<idle_connection>> idle;
     std::set<connection_pointer> incoming;
     std::set<connection_pointer> outgoing;
@@ -95,7 +96,7 @@
 
 void asio_transport::state::bind(const base::endpoint& address) {
     for (int attempt = 1;; ++attempt) {
-        const auto wanted = native<asio::ip::tcp>(address);
+        const auto wanted = to_asio<asio::ip::tcp>(address);
         acceptor.open(wanted.protocol());
         acceptor.set_option(asio::socket_base::reuse_address(true));
         acceptor.bind(wanted);
@@ -109,7 +110,7 @@
         }
         acceptor.close();
         datagrams.close();
-        if (address.port != 0 || attempt == port_attempts) {
+        if (address.port != 0 || attempt == max_port_attempts) {
             throw boost::system::system_error(failure, "UDP " + address.to_string());
         }
     }
@@ -119,7 +120,7 @@
 
 runtime::task<void> asio_transport::state::receive_datagrams() {
     const auto self = shared_from_this();
-    // One more than allowed, to tell a datagram that is too large from one that just fits.
+    // One byte more than allowed, to tell an oversized datagram from one of the largest size.
     std::array<char, largest_datagram + 1> buffer{};
     while (!stopped) {
         asio::ip::udp::endpoint from;
@@ -128,11 +129,11 @@
         if (failure == asio::error::operation_aborted) {
             break;
         }
-        // Others are reports on earlier sends, such as a port that nobody listens on.
+        // Other errors report earlier sends, such as an ICMP message that the port is closed.
         if (failure) {
             continue;
         }
-        counted.datagram_bytes_received += size;
+        counters.datagram_bytes_received += size;
         if (size <= largest_datagram && handle_datagram) {
             const base::endpoint sender{from.address().to_string(), from.port()};
             handle_datagram(sender, std::string_view(buffer.data(), size));
@@ -148,11 +149,11 @@
             break;
         }
         if (failure) {
-            co_await scheduler.sleep_for(accept_pause);
+            co_await scheduler.sleep_for(accept_retry_delay);
             continue;
         }
         if (incoming.size() >= limits.incoming_connections) {
-            continue;  // Closes the socket.
+            continue;  // The socket is closed by its destructor.
         }
         boost::system::error_code ignored;
         socket.set_option(asio::ip::tcp::no_delay(true), ignored);
@@ -163,42 +164,43 @@
 
 runtime::task<void> asio_transport::state::serve(connection_pointer connection) {
     const auto self = shared_from_this();
-    const registration registered(incoming, connection);
-    bool more = true;
-    while (more && !stopped) {
+    const connection_registration registered(incoming, connection);
+    bool keep_open = true;
+    while (keep_open && !stopped) {
         try {
-            more = co_await serve_one(connection);
+            keep_open = co_await serve_call(connection);
         } catch (const std::exception& failure) {
-            runtime::log(runtime::log_level::error, component, "call handler failed",
+            runtime::log(runtime::log_level::error, component,
+                         "call handler threw an exception; closing the connection",
                          {{"error", failure.what()}});
-            more = false;
+            keep_open = false;
         }
     }
     connection->close();
 }
 
-runtime::task<bool> asio_transport::state::serve_one(connection_pointer connection) {
-    connection->limit(scheduler.now() + limits.server_idle);
+runtime::task<bool> asio_transport::state::serve_call(connection_pointer connection) {
+    connection->set_deadline(scheduler.now() + limits.server_idle);
     const result<std::size_t> length = co_await connection->read_length();
     if (!length) {
         co_return false;
     }
-    connection->limit(scheduler.now() + limits.frame);
+    connection->set_deadline(scheduler.now() + limits.frame);
     result<message_bytes> request = co_await connection->read_payload(*length);
     if (!request || !handle_call) {
         co_return false;
     }
-    counted.call_bytes_received += frame_header_bytes + request->size();
-    connection->unlimited();
+    counters.call_bytes_received += frame_header_bytes + request->size();
+    connection->clear_deadline();
     message_bytes bytes = std::move(*request);
     message_bytes answer = co_await handle_call(std::move(bytes));
     if (answer.empty() || answer.size() > limits.call_bytes) {
         co_return false;
     }
     const std::size_t size = answer.size();
-    connection->limit(scheduler.now() + limits.frame);
+    connection->set_deadline(scheduler.now() + limits.frame);
     const result<void> written = co_await connection->write(std::move(answer));
-    counted.call_bytes_sent += written ? frame_header_bytes + size : 0;
+    counters.call_bytes_sent += written ? frame_header_bytes + size : 0;
     co_return written.has_value();
 }
 
@@ -209,14 +211,14 @@
     if (!written) {
         co_return written.error();
     }
-    counted.call_bytes_sent += frame_header_bytes + size;
+    counters.call_bytes_sent += frame_header_bytes + size;
     const result<std::size_t> length = co_await connection->read_length();
     if (!length) {
         co_return length.error();
     }
     result<message_bytes> answer = co_await connection->read_payload(*length);
     if (answer) {
-        counted.call_bytes_received += frame_header_bytes + answer->size();
+        counters.call_bytes_received += frame_header_bytes + answer->size();
     }
     co_return answer;
 }
@@ -234,16 +236,16 @@
     }
     const base::monotonic_time deadline = scheduler.now() + limit;
     connection_pointer connection = take_idle(to);
-    const bool fresh = connection == nullptr;
-    if (fresh) {
+    const bool is_new = connection == nullptr;
+    if (is_new) {
         asio::ip::tcp::socket socket(scheduler.executor());
         connection = std::make_shared<framed_connection>(std::move(socket), limits.call_bytes);
     }
-    connection->limit(deadline);
-    const registration registered(outgoing, connection);
+    connection->set_deadline(deadline);
+    const connection_registration registered(outgoing, connection);
     result<void> connected;
-    if (fresh) {
-        connected = co_await connection->connect(native<asio::ip::tcp>(to));
+    if (is_new) {
+        connected = co_await connection->connect(to_asio<asio::ip::tcp>(to));
     }
     result<message_bytes> answer = error{};
     if (connected) {
@@ -269,8 +271,8 @@
     while (!waiting.empty() && !taken) {
         idle_connection candidate = std::move(waiting.back());
         waiting.pop_back();
-        const bool young = scheduler.now() - candidate.since < limits.client_idle;
-        if (young && candidate.connection->reusable()) {
+        const bool unexpired = scheduler.now() - candidate.since < limits.client_idle;
+        if (unexpired && candidate.connection->reusable()) {
             taken = std::move(candidate.connection);
         } else {
             candidate.connection->close();
@@ -288,8 +290,8 @@
         connection->close();
         return;
     }
-    // The time limit closes it if no call comes; `take_idle` then finds it closed.
-    connection->limit(scheduler.now() + limits.client_idle);
+    // The deadline closes the connection if no call needs it; `take_idle` then finds it closed.
+    connection->set_deadline(scheduler.now() + limits.client_idle);
     waiting.push_back({std::move(connection), scheduler.now()});
 }
 
@@ -346,9 +348,9 @@
     if (failure || state_->stopped || bytes.size() > largest_datagram) {
         return;
     }
-    const asio::ip::udp::endpoint native_to(address, to.port);
-    const std::size_t sent = state_->datagrams.send_to(asio::buffer(bytes), native_to, 0, failure);
-    state_->counted.datagram_bytes_sent += failure ? 0 : sent;
+    const asio::ip::udp::endpoint asio_to(address, to.port);
+    const std::size_t sent = state_->datagrams.send_to(asio::buffer(bytes), asio_to, 0, failure);
+    state_->counters.datagram_bytes_sent += failure ? 0 : sent;
 }
 
 runtime::task<result<message_bytes>> asio_transport::call(const base::endpoint& to,
@@ -358,7 +360,7 @@
 }
 
 const transport_counters& asio_transport::counters() const {
-    return state_->counted;
+    return state_->counters;
 }
 
 std::size_t asio_transport::incoming_connections() const {
--- a/src/ferryroad/peer/asio_transport.hpp
+++ b/src/ferryroad/peer/asio_transport.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The transport on Asio: UDP datagrams, and TCP calls framed by a length of 4 bytes (big
-/// endian). A connection carries one call at a time and is used again for the next.
+/// Transport on Asio: UDP for datagrams, TCP for calls. Each TCP message is prefixed by its length
+/// (4 bytes, big endian). A connection carries one call at a time and is reused for later calls.
 #pragma once
 
 #include "ferryroad/base/endpoint.hpp"
@@ -14,20 +14,23 @@
 
 namespace ferryroad::peer {
 
+/// Limits of `asio_transport`.
 struct transport_limits {
     std::size_t incoming_connections = 1024;
     std::size_t idle_connections_per_address = 2;
-    /// Frames of both directions.
-    std::size_t call_bytes = largest_call;
-    /// A client gives a connection up before the server does.
+    /// Largest frame in either direction, in bytes.
+    std::size_t call_bytes = max_call_bytes;
+    /// Idle timeout of outgoing connections; shorter than the server's, so that a client doesn't
+    /// reuse a connection that the server is closing.
     base::duration client_idle = std::chrono::seconds(30);
+    /// Idle timeout of incoming connections.
     base::duration server_idle = std::chrono::seconds(60);
-    /// For one whole frame to be read once its length has come, or to be written.
+    /// Timeout for writing a frame, and for reading one after its length has arrived.
     base::duration frame = std::chrono::seconds(10);
 };
 
-/// Owned by the composition root, on the event loop's thread. Calls at work when it is
-/// destroyed end as `connection_lost`.
+/// Must be used and destroyed on the event loop's thread. Calls in progress when it is destroyed
+/// fail with `connection_lost`.
 class asio_transport final : public transport {
   public:
     asio_transport(runtime::scheduler& scheduler, transport_limits limits);
@@ -35,10 +38,12 @@
     asio_transport(const asio_transport&) = delete;
     asio_transport& operator=(const asio_transport&) = delete;
 
-    /// Binds UDP and TCP on one port and starts to receive; port 0 takes a port that is free
-    /// for both. @return the address bound. @throws boost::system::system_error.
+    /// Binds UDP and TCP to the same port and starts to receive. Port 0 picks a port that is free
+    /// for both.
+    /// @return the address bound.
+    /// @throws boost::system::system_error if the address can't be bound.
     base::endpoint listen(const base::endpoint& address);
-    /// Closes every socket. Idempotent.
+    /// Closes all sockets. Idempotent.
     void stop();
 
     void on_datagram(datagram_handler handler) override;
@@ -48,7 +53,7 @@
                                               base::duration limit) override;
     const transport_counters& counters() const override;
 
-    /// @return connections now open from other routers.
+    /// @return the number of open connections from other routers.
     std::size_t incoming_connections() const;
 
   private:
--- a/src/ferryroad/peer/call_codec.cpp
+++ b/src/ferryroad/peer/call_codec.cpp
@@ -13,7 +13,7 @@
 namespace membership = coordination::membership;
 using core::prefix::cache_namespace;
 
-// These enumerations are the same on the wire.
+// These enumerations are converted by casts.
 static_assert(static_cast<int>(core::prefix::prefix_change::events_lost) ==
               static_cast<int>(wire::PrefixChange::events_lost));
 static_assert(static_cast<int>(core::prefix::prefix_change::evicted) ==
@@ -23,19 +23,19 @@
 static_assert(static_cast<int>(core::prefix::evidence::answer) ==
               static_cast<int>(wire::PrefixEvidence::answer));
 
-/// A union on the wire: its type and its table.
+/// An encoded union: its type and its table.
 struct wire_body {
     wire::CallBody type = wire::CallBody::NONE;
     offset<void> table;
 };
 
-std::uint32_t wire_milliseconds(base::duration period) {
-    const std::int64_t most = std::numeric_limits<std::uint32_t>::max();
+std::uint32_t to_wire_milliseconds(base::duration period) {
+    const std::int64_t max_value = std::numeric_limits<std::uint32_t>::max();
     return static_cast<std::uint32_t>(
-        std::clamp<std::int64_t>(base::to_milliseconds(period), 0, most));
+        std::clamp<std::int64_t>(base::to_milliseconds(period), 0, max_value));
 }
 
-/// Writes one body; the overloads are found by the variant's visit.
+/// Visitor of `call_body` that writes the body of a call.
 struct body_writer {
     buffer_builder& builder;
 
@@ -112,17 +112,17 @@
                 wire::CreateConfigurationPush(builder, pushed).Union()};
     }
     wire_body operator()(const prefix_lookup& body) const {
-        const auto within = scope(body.scope);
-        const auto wanted = pieces(body.pieces);
+        const auto scope_table = scope(body.scope);
+        const auto piece_list = pieces(body.pieces);
         return {wire::CallBody::PrefixLookup,
-                wire::CreatePrefixLookup(builder, within, wanted).Union()};
+                wire::CreatePrefixLookup(builder, scope_table, piece_list).Union()};
     }
     wire_body operator()(const prefix_answer& body) const {
         const auto holders = write_list<wire::PrefixHolder>(
             builder, body.holders, [&](const core::prefix::holder& holder) {
                 const auto engine = write_shared(builder, holder.process.engine.value);
                 return wire::CreatePrefixHolder(builder, engine, holder.process.incarnation.value,
-                                                holder.pieces, wire_milliseconds(holder.age));
+                                                holder.pieces, to_wire_milliseconds(holder.age));
             });
         const auto rate = static_cast<float>(body.request_rate);
         const auto dispatches = write_list<wire::PrefixDispatch>(
@@ -130,7 +130,7 @@
                 const auto engine = write_shared(builder, dispatch.process.engine.value);
                 return wire::CreatePrefixDispatch(
                     builder, engine, dispatch.process.incarnation.value, dispatch.prefill_tokens,
-                    wire_milliseconds(dispatch.age));
+                    to_wire_milliseconds(dispatch.age));
             });
         return {wire::CallBody::PrefixAnswer,
                 wire::CreatePrefixAnswer(builder, holders, rate, dispatches).Union()};
@@ -139,11 +139,12 @@
         const auto reports = write_list<wire::PrefixReport>(
             builder, body.reports, [&](const core::prefix::prefix_report& report) {
                 const bool without_scope = report.scope == cache_namespace{};
-                const auto within = without_scope ? offset<wire::Namespace>() : scope(report.scope);
+                const auto scope_table =
+                    without_scope ? offset<wire::Namespace>() : scope(report.scope);
                 const auto held = pieces(report.pieces);
                 const auto engine = write_shared(builder, report.process.engine.value);
                 return wire::CreatePrefixReport(
-                    builder, within, held, engine, report.process.incarnation.value,
+                    builder, scope_table, held, engine, report.process.incarnation.value,
                     static_cast<wire::PrefixChange>(report.change),
                     static_cast<wire::PrefixEvidence>(report.why), report.prefill_tokens);
             });
@@ -159,18 +160,18 @@
                     .Union()};
     }
     wire_body operator()(const quota_grant& body) const {
-        return {
-            wire::CallBody::QuotaGrant,
-            wire::CreateQuotaGrant(builder, body.number, body.verdict.granted,
-                                   wire_milliseconds(body.verdict.retry_after), body.verdict.askers)
-                .Union()};
+        return {wire::CallBody::QuotaGrant,
+                wire::CreateQuotaGrant(builder, body.number, body.verdict.granted,
+                                       to_wire_milliseconds(body.verdict.retry_after),
+                                       body.verdict.askers)
+                    .Union()};
     }
     wire_body operator()(const empty& /*body*/) const {
         return {wire::CallBody::Empty, wire::CreateEmpty(builder).Union()};
     }
 };
 
-/// Reads one body; every optional table is checked before use.
+/// Reads the body of a call. Checks that optional tables are present before it reads them.
 struct body_reader {
     field_reader& fields;
 
@@ -219,7 +220,8 @@
         }
         return change;
     }
-    /// Nothing where the answer has no snapshot: revision 0 is the empty configuration.
+    /// @return the snapshot, or nothing if the response has none (revision 0, the empty
+    /// configuration).
     std::optional<configuration::snapshot> snapshot(const wire::ConfigurationAnswer& body) const {
         if (body.snapshot_revision() == 0) {
             return std::nullopt;
@@ -245,7 +247,7 @@
         fields.require(field.evidence() <= wire::PrefixEvidence::MAX &&
                            field.evidence() >= wire::PrefixEvidence::MIN,
                        "known evidence");
-        // A loss of events concerns every namespace of the process.
+        // A loss of events affects all namespaces of the engine process, so it names none.
         const bool without_scope =
             field.change() == wire::PrefixChange::events_lost && field.scope() == nullptr;
         return {without_scope ? cache_namespace{} : scope(field.scope()),
--- a/src/ferryroad/peer/codec.hpp
+++ b/src/ferryroad/peer/codec.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// Typed messages to and from FlatBuffers of schema/wire.fbs. Decoding verifies the buffer's
-/// structure and every field's range first: bytes from anywhere give a message or `malformed`.
+/// Conversion between typed messages and FlatBuffers of schema/wire.fbs. Decoding verifies the
+/// structure of the buffer and the range of every field, so it is safe on untrusted bytes: they
+/// give a message or `malformed`.
 #pragma once
 
 #include "ferryroad/peer/errors.hpp"
@@ -12,7 +13,7 @@
 
 namespace ferryroad::peer {
 
-/// What a message may hold at the most.
+/// Largest number of bytes of a name, and of entries of each list of a message.
 struct codec_limits {
     static constexpr std::size_t name_bytes = 128;
     static constexpr std::size_t members = 4096;
@@ -28,8 +29,8 @@
 message_bytes encode(const datagram& message);
 message_bytes encode(const call& message);
 
-/// @return the message, or `malformed`. Names are not empty, addresses are IP numbers, numbers
-/// are finite and not negative.
+/// @return the message, or `malformed`. In a decoded message required names are not empty,
+/// addresses are IP addresses, and amounts are finite and not negative.
 result<datagram> decode_datagram(std::string_view bytes);
 result<call> decode_call(std::string_view bytes);
 
--- a/src/ferryroad/peer/codec_fields.hpp
+++ b/src/ferryroad/peer/codec_fields.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Parts that datagrams and calls share on the wire. Private to this folder.
+/// Reading and writing of the fields that several messages share. Internal to this directory.
 #pragma once
 
 #include "ferryroad/base/endpoint.hpp"
@@ -23,56 +23,62 @@
 template <typename T>
 using offset_vector = flatbuffers::Vector<offset<T>>;
 
-/// Tables nest at most 5 deep; the verifier refuses more.
-inline constexpr std::uint32_t deepest_table = 16;
-/// Each list is limited on its own; this bounds the verifier's work before that.
-inline constexpr std::uint32_t most_tables = 1'000'000;
+/// Nesting depth that the verifier accepts; the schema needs 5.
+inline constexpr std::uint32_t max_table_depth = 16;
+/// Bounds the verifier's work, which comes before the decoder checks the limit of each list.
+inline constexpr std::uint32_t max_tables = 1'000'000;
 
-/// Reads verified fields. The first fault sticks, later reads give defaults, so that a decoder
-/// reads straight down and checks once.
+/// Reads fields of a verified buffer and checks their ranges. It keeps the first fault; fields at
+/// fault read as defaults, so a decoder can read all fields and check for a fault once at the end.
 class field_reader {
   public:
+    /// Records a fault unless `condition` holds.
+    /// @param expected describes the valid content, for the error message.
     void require(bool condition, const char* expected) {
         if (!condition && fault_ == nullptr) {
             fault_ = expected;
         }
     }
+    /// @return what was expected where the first fault is, or null.
     const char* fault() const { return fault_; }
 
-    std::string text(const flatbuffers::String* field, std::size_t most) {
+    /// Reads a string of at most `max_size` bytes.
+    std::string text(const flatbuffers::String* field, std::size_t max_size) {
         const std::size_t size = field == nullptr ? 0 : field->size();
-        require(size <= most, "a shorter text");
-        return size == 0 || size > most ? std::string() : field->str();
+        require(size <= max_size, "a shorter text");
+        return size == 0 || size > max_size ? std::string() : field->str();
     }
-    /// Value of any length that the message itself allows.
-    std::string value(const flatbuffers::String* field) { return text(field, largest_call); }
+    /// Reads a string that is bounded only by the size of a message.
+    std::string value(const flatbuffers::String* field) { return text(field, max_call_bytes); }
 
-    /// A name of one of the strong types.
+    /// Reads a name, which must not be empty.
     template <typename Id>
     Id name(const flatbuffers::String* field) {
         Id id(text(field, codec_limits::name_bytes));
         require(!id.value.empty(), "a name");
         return id;
     }
+    /// Reads a name that may be empty.
     template <typename Id>
     Id optional_name(const flatbuffers::String* field) {
         return Id(text(field, codec_limits::name_bytes));
     }
 
+    /// Reads a finite number that is not negative.
     double amount(double field) {
         const bool valid = field >= 0 && field <= 1e15;
         require(valid, "a finite number, not negative");
         return valid ? field : 0;
     }
 
-    /// Reads each entry of a list by `read(entry)`; a missing list is empty.
+    /// Reads a list of at most `max_size` entries with `read(entry)`; a missing list is empty.
     template <typename Wire, typename Read>
-    auto list(const offset_vector<Wire>* field, std::size_t most, Read read) {
+    auto list(const offset_vector<Wire>* field, std::size_t max_size, Read read) {
         using entry = decltype(read(*field->Get(0)));
         std::vector<entry> entries;
         const std::size_t size = field == nullptr ? 0 : field->size();
-        require(size <= most, "a shorter list");
-        if (size > most) {
+        require(size <= max_size, "a shorter list");
+        if (size > max_size) {
             return entries;
         }
         entries.reserve(size);
@@ -88,7 +94,8 @@
     const char* fault_ = nullptr;
 };
 
-/// Writes each entry by `write(entry)` and gives the list's offset; no bytes for an empty one.
+/// Writes a list with `write(entry)`.
+/// @return the offset of the list; 0, without writing anything, if it is empty.
 template <typename Wire, typename Entries, typename Write>
 offset<offset_vector<Wire>> write_list(buffer_builder& builder, const Entries& entries,
                                        Write write) {
@@ -106,7 +113,8 @@
 inline offset<flatbuffers::String> write_text(buffer_builder& builder, const std::string& text) {
     return text.empty() ? 0 : builder.CreateString(text);
 }
-/// Equal texts of one message are written once: zones, regions, addresses, tenants.
+/// Writes a string once per message, for strings that often repeat: zones, regions, addresses,
+/// tenants.
 inline offset<flatbuffers::String> write_shared(buffer_builder& builder, const std::string& text) {
     return text.empty() ? 0 : builder.CreateSharedString(text);
 }
@@ -114,30 +122,33 @@
 offset<wire::MemberUpdate> write_member(buffer_builder& builder,
                                         const coordination::membership::member_update& member);
 
-/// Ends the message and copies its bytes out.
+/// Finishes the message.
+/// @return a copy of its bytes.
 template <typename Wire>
 message_bytes finish(buffer_builder& builder, offset<Wire> root, const char* identifier = nullptr) {
     builder.Finish(root, identifier);
     return {reinterpret_cast<const char*>(builder.GetBufferPointer()), builder.GetSize()};
 }
 
-/// @return whether the bytes say that they are a message of the kind; they may still be malformed.
+/// @return whether the bytes carry the identifier of a kind of message; the message may still be
+/// malformed.
 inline bool has_identifier(std::string_view bytes, const char* identifier) {
-    constexpr std::size_t least = 2 * sizeof(flatbuffers::uoffset_t);
-    return bytes.size() >= least && flatbuffers::BufferHasIdentifier(bytes.data(), identifier);
+    constexpr std::size_t min_bytes = 2 * sizeof(flatbuffers::uoffset_t);
+    return bytes.size() >= min_bytes && flatbuffers::BufferHasIdentifier(bytes.data(), identifier);
 }
 
-/// @param identifier of the message's kind, 4 characters, where messages of several kinds come the
-/// same way; else null.
-/// @return the root table if every offset and length within `bytes` holds, else null.
+/// @param identifier 4 characters that identify the kind of message, where several kinds share a
+/// channel; otherwise null.
+/// @return the root table if every offset and length in `bytes` is valid, otherwise null.
 template <typename Wire>
 const Wire* verified_root(std::string_view bytes, const char* identifier = nullptr) {
     const auto* start = reinterpret_cast<const std::uint8_t*>(bytes.data());
-    flatbuffers::Verifier verifier(start, bytes.size(), deepest_table, most_tables);
+    flatbuffers::Verifier verifier(start, bytes.size(), max_table_depth, max_tables);
     return verifier.VerifyBuffer<Wire>(identifier) ? flatbuffers::GetRoot<Wire>(start) : nullptr;
 }
 
-/// Aligned copy where `bytes` don't begin at a multiple of 8, as FlatBuffers needs.
+/// View of bytes that start at a multiple of 8, as FlatBuffers requires. Copies them only if they
+/// aren't aligned already; otherwise the original bytes must outlive this object.
 class aligned_bytes {
   public:
     explicit aligned_bytes(std::string_view bytes);
--- a/src/ferryroad/peer/crash_message.hpp
+++ b/src/ferryroad/peer/crash_message.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// What routers tell each other of engines that ended and of the requests that were in progress
-/// there, with its encoding (schema/wire.fbs). In datagrams of their own, and as rows of the
-/// product's table; one that is lost, doubled or late does no harm.
+/// Message about crashed engines and the requests that were in progress there, with its encoding
+/// (schema/wire.fbs). It is sent in datagrams of its own and stored as rows of the product's table;
+/// lost, duplicated or late messages do no harm.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -16,33 +16,37 @@
 
 namespace ferryroad::peer {
 
-/// An engine's end as one router saw it, by its age: clocks of routers differ.
+/// A crash of an engine as observed by one router. Times are sent as ages because the clocks of
+/// routers differ.
 struct told_crash {
     base::engine_name engine;
-    base::duration age{};        ///< To the millisecond, as the next.
-    base::duration began_age{};  ///< Of the newest exchange with it.
+    base::duration age{};  ///< Since the crash; millisecond precision on the wire.
+    base::duration
+        began_age{};  ///< Since the newest exchange with the engine began; same precision.
     std::vector<core::quarantine::crash_candidate> candidates;
-    std::uint32_t unnamed = 0;
+    std::uint32_t unnamed = 0;  ///< Further requests in progress that `candidates` omits.
 
     friend bool operator==(const told_crash&, const told_crash&) = default;
 };
 
+/// Crashes observed by the sender, and requests cleared of suspicion.
 struct crash_news {
     base::router_name sender;
-    /// Milliseconds of the table owner's clock, from which the ages count; 0: from the arrival.
+    /// Table owner's clock in milliseconds when the message was written; ages are relative to it. 0
+    /// means that ages are relative to the arrival of the message.
     std::uint64_t owner_time = 0;
     std::vector<told_crash> crashes;
-    std::vector<core::quarantine::request_identity> cleared;
+    std::vector<core::quarantine::request_identity> cleared;  ///< An engine survived them.
 
     friend bool operator==(const crash_news&, const crash_news&) = default;
 };
 
-/// Candidates of one crash, and cleared requests, that surely fit into a datagram.
+/// Number of candidates of one crash, or of cleared requests, that always fits into a datagram.
 inline constexpr std::size_t requests_of_crash_datagram = 32;
 
-/// Thread-safe, as all here.
+/// All functions of this file are thread-safe.
 message_bytes encode(const crash_news& news);
-/// @return whether the datagram says that it is one of these; it may still be malformed.
+/// @return whether the datagram carries the identifier of this message; it may still be malformed.
 bool is_crash_news(std::string_view bytes);
 /// @return the message, or `malformed`.
 result<crash_news> decode_crash_news(std::string_view bytes);
--- a/src/ferryroad/peer/crash_message_codec.cpp
+++ b/src/ferryroad/peer/crash_message_codec.cpp
@@ -12,19 +12,20 @@
 using core::quarantine::crash_candidate;
 using core::quarantine::request_identity;
 
-constexpr const char* news_identifier = "FRCN";
-/// More than a datagram or a row holds.
-constexpr std::size_t most_entries = 1024;
-/// An age is not believed beyond this: it would overflow a time.
-constexpr std::uint64_t longest_age_ms = 100'000'000'000;
+/// Distinguishes this message from other datagrams.
+constexpr const char* crash_identifier = "FRCN";
+/// Limit of list entries; more than a datagram or a row holds.
+constexpr std::size_t max_entries = 1024;
+/// Ages above this are rejected, since they would overflow a time point.
+constexpr std::uint64_t max_age_ms = 100'000'000'000;
 
 std::uint64_t write_age(base::duration age) {
     return static_cast<std::uint64_t>(std::max<std::int64_t>(0, base::to_milliseconds(age)));
 }
 
-base::duration read_age(field_reader& reader, std::uint64_t told_ms) {
-    reader.require(told_ms <= longest_age_ms, "a lower age");
-    return std::chrono::milliseconds(std::min(told_ms, longest_age_ms));
+base::duration read_age(field_reader& reader, std::uint64_t age_ms) {
+    reader.require(age_ms <= max_age_ms, "a lower age");
+    return std::chrono::milliseconds(std::min(age_ms, max_age_ms));
 }
 
 void write_digest(std::vector<std::uint64_t>& digests, const request_identity& request) {
@@ -35,10 +36,10 @@
 std::vector<request_identity> read_digests(field_reader& reader,
                                            const flatbuffers::Vector<std::uint64_t>* digests) {
     const std::size_t size = digests == nullptr ? 0 : digests->size();
-    const bool sound = size % 2 == 0 && size <= 2 * most_entries;
-    reader.require(sound, "two numbers for each request");
+    const bool valid = size % 2 == 0 && size <= 2 * max_entries;
+    reader.require(valid, "two numbers for each request");
     std::vector<request_identity> requests;
-    for (std::size_t index = 0; sound && index < size; index += 2) {
+    for (std::size_t index = 0; valid && index < size; index += 2) {
         const auto place = static_cast<flatbuffers::uoffset_t>(index);
         requests.push_back({{digests->Get(place), digests->Get(place + 1)}});
     }
@@ -59,17 +60,17 @@
                                    crash.unnamed, write_age(crash.began_age));
 }
 
-told_crash read_crash(field_reader& reader, const wire::EngineCrash& told) {
+told_crash read_crash(field_reader& reader, const wire::EngineCrash& encoded) {
     told_crash crash;
-    crash.engine = reader.name<base::engine_name>(told.engine());
-    crash.age = read_age(reader, told.age_milliseconds());
-    crash.began_age = read_age(reader, told.began_age_milliseconds());
-    crash.unnamed = told.unnamed();
-    const auto requests = read_digests(reader, told.digests());
-    const std::size_t marks = told.silent() == nullptr ? 0 : told.silent()->size();
+    crash.engine = reader.name<base::engine_name>(encoded.engine());
+    crash.age = read_age(reader, encoded.age_milliseconds());
+    crash.began_age = read_age(reader, encoded.began_age_milliseconds());
+    crash.unnamed = encoded.unnamed();
+    const auto requests = read_digests(reader, encoded.digests());
+    const std::size_t marks = encoded.silent() == nullptr ? 0 : encoded.silent()->size();
     reader.require(marks == requests.size(), "a mark for each request");
     for (std::size_t index = 0; marks == requests.size() && index < marks; ++index) {
-        const bool silent = told.silent()->Get(static_cast<flatbuffers::uoffset_t>(index)) != 0;
+        const bool silent = encoded.silent()->Get(static_cast<flatbuffers::uoffset_t>(index)) != 0;
         crash.candidates.push_back({requests[index], silent});
     }
     return crash;
@@ -89,28 +90,28 @@
     const auto sender = write_text(builder, news.sender.value);
     return finish(builder,
                   wire::CreateCrashNews(builder, sender, news.owner_time, crashes, cleared),
-                  news_identifier);
+                  crash_identifier);
 }
 
 bool is_crash_news(std::string_view bytes) {
-    return has_identifier(bytes, news_identifier);
+    return has_identifier(bytes, crash_identifier);
 }
 
 result<crash_news> decode_crash_news(std::string_view bytes) {
     const aligned_bytes aligned(bytes);
-    const auto* root = verified_root<wire::CrashNews>(aligned.view(), news_identifier);
+    const auto* root = verified_root<wire::CrashNews>(aligned.view(), crash_identifier);
     if (root == nullptr) {
-        return malformed("no news of crashes");
+        return malformed("not a crash message");
     }
     field_reader reader;
     crash_news news;
     news.sender = reader.name<base::router_name>(root->sender());
     news.owner_time = root->owner_milliseconds();
-    news.crashes = reader.list(root->crashes(), most_entries,
+    news.crashes = reader.list(root->crashes(), max_entries,
                                [&](const auto& one) { return read_crash(reader, one); });
     news.cleared = read_digests(reader, root->cleared());
     if (reader.fault() != nullptr) {
-        return malformed(std::string("news of crashes: expected ") + reader.fault());
+        return malformed(std::string("crash message: expected ") + reader.fault());
     }
     return news;
 }
--- a/src/ferryroad/peer/datagram_codec.cpp
+++ b/src/ferryroad/peer/datagram_codec.cpp
@@ -6,7 +6,7 @@
 
 namespace membership = coordination::membership;
 
-/// A union on the wire: its type and its table.
+/// An encoded union: its type and its table.
 struct wire_probe {
     wire::Probe type = wire::Probe::NONE;
     offset<void> table;
--- a/src/ferryroad/peer/errors.hpp
+++ b/src/ferryroad/peer/errors.hpp
@@ -1,13 +1,15 @@
 /// @file
-/// Errors of talking to another router.
+/// Errors of messages between routers.
 #pragma once
 
 #include <string>
 
 namespace ferryroad::peer {
 
+/// Why a call or a decoding failed.
 enum class error_code { unreachable, timed_out, connection_lost, too_large, malformed, refused };
 
+/// A failed call or decoding.
 struct error {
     error_code code{};
     std::string message;
--- a/src/ferryroad/peer/framed_connection.cpp
+++ b/src/ferryroad/peer/framed_connection.cpp
@@ -25,13 +25,16 @@
 
 }  // namespace
 
-framed_connection::framed_connection(asio::ip::tcp::socket socket, std::size_t largest_frame)
-    : socket_(std::move(socket)), timer_(socket_.get_executor()), largest_frame_(largest_frame) {}
+framed_connection::framed_connection(asio::ip::tcp::socket socket, std::size_t max_frame_bytes)
+    : socket_(std::move(socket)),
+      timer_(socket_.get_executor()),
+      max_frame_bytes_(max_frame_bytes) {}
 
 runtime::task<result<void>> framed_connection::connect(asio::ip::tcp::endpoint to) {
     const auto [failure] = co_await socket_.async_connect(to, awaitable_tuple);
     if (failure) {
-        co_return expired_ ? fault(failure) : error{error_code::unreachable, failure.message()};
+        co_return deadline_expired_ ? to_error(failure)
+                                    : error{error_code::unreachable, failure.message()};
     }
     boost::system::error_code ignored;
     socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
@@ -44,7 +47,7 @@
     const std::array<asio::const_buffer, 2> frame{asio::buffer(header), asio::buffer(payload)};
     const auto [failure, bytes] = co_await asio::async_write(socket_, frame, awaitable_tuple);
     if (failure) {
-        co_return fault(failure);
+        co_return to_error(failure);
     }
     co_return result<void>();
 }
@@ -54,10 +57,10 @@
     const auto [failure, bytes] =
         co_await asio::async_read(socket_, asio::buffer(header), awaitable_tuple);
     if (failure) {
-        co_return fault(failure);
+        co_return to_error(failure);
     }
     const std::size_t length = boost::endian::load_big_u32(header.data());
-    if (length > largest_frame_) {
+    if (length > max_frame_bytes_) {
         co_return error{error_code::too_large, "frame of " + std::to_string(length) + " bytes"};
     }
     co_return length;
@@ -65,31 +68,33 @@
 
 runtime::task<result<message_bytes>> framed_connection::read_payload(std::size_t length) {
     message_bytes payload;
-    // Grows with what comes, so that a length alone can't take the memory.
+    // The buffer grows with the data received, so that a forged length can't allocate memory.
     const auto [failure, bytes] =
         co_await asio::async_read(socket_, asio::dynamic_buffer(payload, length),
                                   asio::transfer_exactly(length), awaitable_tuple);
     if (failure) {
-        co_return fault(failure);
+        co_return to_error(failure);
     }
     co_return payload;
 }
 
-void framed_connection::limit(base::monotonic_time when) {
+void framed_connection::set_deadline(base::monotonic_time when) {
     timer_.expires_at(runtime::boot_clock::time_point(when.time_since_epoch()));
-    const std::uint64_t mine = ++limits_set_;
-    timer_.async_wait([weak = weak_from_this(), mine](const boost::system::error_code& cancelled) {
-        const auto self = weak.lock();
-        // A wait that ended just before a new limit was set is no longer cancelled by it.
-        if (!cancelled && self && self->limits_set_ == mine) {
-            self->expired_ = true;
-            self->close();
-        }
-    });
+    const std::uint64_t generation = ++deadline_generation_;
+    timer_.async_wait(
+        [weak = weak_from_this(), generation](const boost::system::error_code& cancelled) {
+            const auto self = weak.lock();
+            // If the timer expired just before the deadline was changed, cancelling it had no
+            // effect; the generation tells that this wait is obsolete.
+            if (!cancelled && self && self->deadline_generation_ == generation) {
+                self->deadline_expired_ = true;
+                self->close();
+            }
+        });
 }
 
-void framed_connection::unlimited() {
-    ++limits_set_;
+void framed_connection::clear_deadline() {
+    ++deadline_generation_;
     timer_.cancel();
 }
 
@@ -110,9 +115,9 @@
     return failure == asio::error::would_block;
 }
 
-error framed_connection::fault(const boost::system::error_code& failure) const {
-    if (expired_) {
-        return error{error_code::timed_out, "no answer in time"};
+error framed_connection::to_error(const boost::system::error_code& failure) const {
+    if (deadline_expired_) {
+        return error{error_code::timed_out, "deadline passed before the operation completed"};
     }
     return error{error_code::connection_lost, failure.message()};
 }
--- a/src/ferryroad/peer/framed_connection.hpp
+++ b/src/ferryroad/peer/framed_connection.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// One TCP connection that carries frames: a length of 4 bytes, big endian, and as many bytes.
-/// Private to this folder.
+/// A TCP connection that carries frames: a length of 4 bytes (big endian), then as many bytes of
+/// payload. Internal to this directory.
 #pragma once
 
 #include "ferryroad/base/time.hpp"
@@ -16,36 +16,40 @@
 
 namespace ferryroad::peer {
 
-/// Bytes of a frame's length.
+/// Size of the length field of a frame, in bytes.
 inline constexpr std::size_t frame_header_bytes = 4;
 
-/// Closes its socket when the time set by `limit` is over, which ends the operation at work.
+/// Reads and writes frames under a deadline. When the deadline passes, the socket is closed and the
+/// operation in progress fails with `timed_out`.
 class framed_connection : public std::enable_shared_from_this<framed_connection> {
   public:
-    framed_connection(boost::asio::ip::tcp::socket socket, std::size_t largest_frame);
+    framed_connection(boost::asio::ip::tcp::socket socket, std::size_t max_frame_bytes);
 
     runtime::task<result<void>> connect(boost::asio::ip::tcp::endpoint to);
     runtime::task<result<void>> write(message_bytes payload);
-    /// @return the length, once it has come.
+    /// Waits for the next frame and reads its length field.
+    /// @return the length of the payload in bytes.
     runtime::task<result<std::size_t>> read_length();
     runtime::task<result<message_bytes>> read_payload(std::size_t length);
 
-    /// All operations from here on must end by `when`, until the next call of `limit`.
-    void limit(base::monotonic_time when);
-    /// Lifts the limit.
-    void unlimited();
+    /// Sets the deadline of all operations until the next call of `set_deadline` or
+    /// `clear_deadline`.
+    void set_deadline(base::monotonic_time when);
+    /// Removes the deadline.
+    void clear_deadline();
     void close();
-    /// @return false once closed, or where the other side has closed or has sent unasked.
+    /// @return whether another call may use the connection: false if it was closed by either side
+    /// or holds unexpected incoming data.
     bool reusable();
 
   private:
-    error fault(const boost::system::error_code& failure) const;
+    error to_error(const boost::system::error_code& failure) const;
 
     boost::asio::ip::tcp::socket socket_;
     runtime::boot_timer timer_;
-    std::size_t largest_frame_;
-    std::uint64_t limits_set_ = 0;
-    bool expired_ = false;
+    std::size_t max_frame_bytes_;
+    std::uint64_t deadline_generation_ = 0;  ///< Counts changes of the deadline.
+    bool deadline_expired_ = false;
 };
 
 }  // namespace ferryroad::peer
--- a/src/ferryroad/peer/messages.hpp
+++ b/src/ferryroad/peer/messages.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Typed messages between routers: what schema/wire.fbs carries. Where a library or the core
-/// has a type for it, the message is that type.
+/// Typed messages between routers, as encoded by schema/wire.fbs. Types of the coordination and
+/// core libraries are used directly where they exist.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -24,7 +24,7 @@
 using coordination::membership::join_answer;
 using coordination::membership::join_request;
 
-/// Asks for the configuration after `from`.
+/// Requests the configuration changes after revision `from`.
 struct configuration_pull {
     base::revision from;
     friend bool operator==(const configuration_pull&, const configuration_pull&) = default;
@@ -32,41 +32,43 @@
 
 using configuration_answer = coordination::configuration::pull_answer;
 
-/// Tells of a revision as soon as it is committed.
+/// Announces a revision as soon as it is committed.
 struct configuration_push {
     coordination::configuration::change change;
     friend bool operator==(const configuration_push&, const configuration_push&) = default;
 };
 
-/// Asks a root's owner which engines hold the pieces (root first).
+/// Asks the router that owns a root piece which engines hold the pieces (root first).
 struct prefix_lookup {
     core::prefix::cache_namespace scope;
     core::prefix::piece_chain pieces;
     friend bool operator==(const prefix_lookup&, const prefix_lookup&) = default;
 };
 
-/// Ages are whole milliseconds on the wire, the rate has single precision.
+/// Response to `prefix_lookup`. Ages have millisecond precision on the wire, the rate single
+/// precision.
 using prefix_answer = core::prefix::owner_answer;
 
+/// Reports to the owner of a root piece about cached pieces.
 struct prefix_reports {
     std::vector<core::prefix::prefix_report> reports;
 };
 
-/// Asks the router that counts for a tenant whether a request may run.
+/// Asks the router that keeps a tenant's quota whether a request may run.
 struct quota_request {
-    std::uint64_t number = 0;  ///< The sender's own, for the answer.
+    std::uint64_t number = 0;  ///< Chosen by the sender to match the response.
     coordination::quota::quota_ask ask;
     friend bool operator==(const quota_request&, const quota_request&) = default;
 };
 
-/// Times are whole milliseconds on the wire.
+/// Response to `quota_request`. Durations have millisecond precision on the wire.
 struct quota_grant {
-    std::uint64_t number = 0;  ///< Of the request.
+    std::uint64_t number = 0;  ///< Number of the request.
     coordination::quota::quota_verdict verdict;
     friend bool operator==(const quota_grant&, const quota_grant&) = default;
 };
 
-/// The answer where there is nothing to say.
+/// Response without content.
 struct empty {
     friend bool operator==(const empty&, const empty&) = default;
 };
@@ -75,7 +77,7 @@
                                configuration_push, prefix_lookup, prefix_answer, prefix_reports,
                                quota_request, quota_grant, empty>;
 
-/// A request or an answer with its sender.
+/// A request or response with its sender.
 struct call {
     base::router_name sender;
     base::incarnation sender_incarnation;
--- a/src/ferryroad/peer/packed_rows.cpp
+++ b/src/ferryroad/peer/packed_rows.cpp
@@ -12,7 +12,7 @@
 
 using coordination::reading::record;
 
-/// The fastest: the rows of a table are alike, and processors of routers are small.
+/// The fastest level: it suffices because rows resemble each other, and routers have little CPU.
 constexpr int compression_level = 1;
 
 }  // namespace
@@ -28,7 +28,7 @@
         ZSTD_compress(packed.block.data(), packed.block.size(), builder.GetBufferPointer(),
                       packed.unpacked_bytes, compression_level);
     if (ZSTD_isError(written) != 0) {
-        throw std::bad_alloc();  // All else is excluded by the bound.
+        throw std::bad_alloc();  // The only error possible with a buffer of the bound's size.
     }
     packed.block.resize(written);
     packed.block.shrink_to_fit();
@@ -36,19 +36,20 @@
 }
 
 result<std::vector<record>> unpack(const packed_rows& packed) {
-    if (packed.unpacked_bytes > largest_call) {
-        return malformed("packed rows: expected fewer bytes");
+    if (packed.unpacked_bytes > max_call_bytes) {
+        return malformed("packed rows: uncompressed size exceeds the limit of a call");
     }
     std::string bytes(packed.unpacked_bytes, '\0');
     const std::size_t written =
         ZSTD_decompress(bytes.data(), bytes.size(), packed.block.data(), packed.block.size());
     if (ZSTD_isError(written) != 0 || written != bytes.size()) {
-        return malformed("packed rows: expected a whole block");
+        return malformed(
+            "packed rows: compressed block is damaged or has another size than stated");
     }
     const aligned_bytes aligned(bytes);
     const auto* root = verified_root<wire::TableRows>(aligned.view());
     if (root == nullptr) {
-        return malformed("packed rows: expected rows");
+        return malformed("packed rows: block does not contain a valid table of rows");
     }
     field_reader reader;
     std::vector<record> rows = read_rows(reader, root->rows());
--- a/src/ferryroad/peer/packed_rows.hpp
+++ b/src/ferryroad/peer/packed_rows.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Rows of an outside table as routers pass them on: one compressed block, as most rows of a table
-/// are alike. A list of 10,000 engines takes about a tenth of its size.
+/// Compressed rows of an external table, as routers forward them. Rows of one table resemble each
+/// other, so they are compressed as one block: a list of 10,000 engines shrinks to about a tenth.
 #pragma once
 
 #include "ferryroad/coordination/reading/record.hpp"
@@ -13,24 +13,27 @@
 
 namespace ferryroad::peer {
 
-/// Text of the followed tables shrinks at least so much: an estimate of what rows take once they
-/// are packed, before they are.
+/// Lower bound of the compression ratio of rows, used to estimate the compressed size before
+/// compressing.
 inline constexpr std::size_t least_packing_ratio = 4;
 
-/// Each row takes more bytes than this, so that the bytes of a call bound the rows of an answer.
-inline constexpr std::size_t least_row_bytes = 32;
-inline constexpr std::size_t most_table_rows = largest_call / least_row_bytes;
+/// Lower bound of the encoded size of a row. It limits the number of rows in a call of maximum
+/// size.
+inline constexpr std::size_t min_row_bytes = 32;
+inline constexpr std::size_t max_table_rows = max_call_bytes / min_row_bytes;
 
+/// A compressed block of rows.
 struct packed_rows {
-    std::string block;  ///< Compressed.
-    std::size_t unpacked_bytes = 0;
+    std::string block;               ///< Compressed with zstd.
+    std::size_t unpacked_bytes = 0;  ///< Size before compression.
 
     friend bool operator==(const packed_rows&, const packed_rows&) = default;
 };
 
-/// Thread-safe, as all here.
+/// Compresses rows. All functions of this file are thread-safe.
 packed_rows pack(const std::vector<coordination::reading::record>& rows);
-/// @return the rows, or `malformed` where the block holds none, or more than a call may carry.
+/// Decompresses rows.
+/// @return the rows, or `malformed` if the block is invalid or larger than a call may be.
 result<std::vector<coordination::reading::record>> unpack(const packed_rows& packed);
 
 }  // namespace ferryroad::peer
--- a/src/ferryroad/peer/peer_dispatcher.cpp
+++ b/src/ferryroad/peer/peer_dispatcher.cpp
@@ -5,8 +5,8 @@
 namespace ferryroad::peer {
 
 peer_dispatcher::peer_dispatcher(transport& calls, base::router_name self,
-                                 base::incarnation process)
-    : transport_(calls), self_(std::move(self)), process_(process) {
+                                 base::incarnation incarnation)
+    : transport_(calls), self_(std::move(self)), incarnation_(incarnation) {
     transport_.on_call([this](message_bytes request) { return serve(std::move(request)); });
 }
 
@@ -16,7 +16,7 @@
 
 runtime::task<result<call_body>> peer_dispatcher::exchange(base::endpoint to, call_body request,
                                                            base::duration limit) {
-    message_bytes bytes = encode(peer::call{self_, process_, std::move(request)});
+    message_bytes bytes = encode(peer::call{self_, incarnation_, std::move(request)});
     const result<message_bytes> answer = co_await transport_.call(to, std::move(bytes), limit);
     if (!answer) {
         co_return answer.error();
@@ -42,7 +42,7 @@
     ++counters_.calls_handled;
     const call_sender sender{message->sender, message->sender_incarnation};
     call_body answer = handler(sender, std::move(message->body));
-    co_return encode(peer::call{self_, process_, std::move(answer)});
+    co_return encode(peer::call{self_, incarnation_, std::move(answer)});
 }
 
 }  // namespace ferryroad::peer
--- a/src/ferryroad/peer/release_message_codec.cpp
+++ b/src/ferryroad/peer/release_message_codec.cpp
@@ -16,11 +16,11 @@
 using core::canary::compared_counts;
 using core::canary::outcome_counts;
 
-/// Tell these from other datagrams.
+/// Distinguish these messages from other datagrams.
 constexpr const char* report_identifier = "FRRR";
 constexpr const char* notice_identifier = "FRRN";
-/// Of routes and versions: more than fit into a datagram.
-constexpr std::size_t most_entries = 256;
+/// Limit of routes and versions; more than fit into a datagram.
+constexpr std::size_t max_entries = 256;
 
 wire::ReleasePhase write_phase(const std::optional<release_phase>& phase) {
     if (!phase) {
@@ -72,31 +72,33 @@
                                        count_list);
 }
 
-outcome_counts read_outcomes(field_reader& reader, const wire::ReleaseOutcomes* told) {
+outcome_counts read_outcomes(field_reader& reader, const wire::ReleaseOutcomes* encoded) {
     outcome_counts counted;
-    if (told == nullptr) {
+    if (encoded == nullptr) {
         return counted;
     }
-    counted.answered = told->answered();
-    counted.failed = told->failed();
-    const std::size_t size = told->classes() == nullptr ? 0 : told->classes()->size();
-    const std::size_t given = told->counts() == nullptr ? 0 : told->counts()->size();
-    reader.require(size == given && size <= counted.durations.size(), "a count for each class");
+    counted.answered = encoded->answered();
+    counted.failed = encoded->failed();
+    const std::size_t size = encoded->classes() == nullptr ? 0 : encoded->classes()->size();
+    const std::size_t count_size = encoded->counts() == nullptr ? 0 : encoded->counts()->size();
+    reader.require(size == count_size && size <= counted.durations.size(),
+                   "a count for each class");
     if (reader.fault() != nullptr) {
         return counted;
     }
-    std::uint64_t timed = 0;
+    std::uint64_t total = 0;
     for (std::size_t place = 0; place < size; ++place) {
         const auto index = static_cast<flatbuffers::uoffset_t>(place);
-        const std::size_t known = told->classes()->Get(index);
-        const bool is_new = known < counted.durations.size() && counted.durations[known] == 0;
+        const std::size_t duration_class = encoded->classes()->Get(index);
+        const bool is_new =
+            duration_class < counted.durations.size() && counted.durations[duration_class] == 0;
         reader.require(is_new, "each class once");
         if (is_new) {
-            counted.durations[known] = told->counts()->Get(index);
-            timed += counted.durations[known];
+            counted.durations[duration_class] = encoded->counts()->Get(index);
+            total += counted.durations[duration_class];
         }
     }
-    reader.require(timed + counted.failed <= counted.answered, "no more parts than answers");
+    reader.require(total + counted.failed <= counted.answered, "no more parts than answers");
     return counted;
 }
 
@@ -120,13 +122,13 @@
     return names.empty() ? offset<version_list>() : builder.CreateVector(names);
 }
 
-std::set<software_version> read_versions(field_reader& reader, const version_list* told) {
+std::set<software_version> read_versions(field_reader& reader, const version_list* encoded) {
     std::set<software_version> versions;
-    const std::size_t size = told == nullptr ? 0 : told->size();
-    reader.require(size <= most_entries, "a shorter list");
+    const std::size_t size = encoded == nullptr ? 0 : encoded->size();
+    reader.require(size <= max_entries, "a shorter list");
     for (std::size_t place = 0; place < size && reader.fault() == nullptr; ++place) {
         const auto index = static_cast<flatbuffers::uoffset_t>(place);
-        versions.insert(reader.name<software_version>(told->Get(index)));
+        versions.insert(reader.name<software_version>(encoded->Get(index)));
     }
     return versions;
 }
@@ -187,7 +189,7 @@
     report.saw_bad = root->saw_bad();
     report.unrepeatable = root->unrepeatable();
     report.number = root->number();
-    const auto routes = reader.list(root->routes(), most_entries, [&](const auto& one) {
+    const auto routes = reader.list(root->routes(), max_entries, [&](const auto& one) {
         return std::pair(reader.template name<base::route_name>(one.route()),
                          compared_counts{read_outcomes(reader, one.current()),
                                          read_outcomes(reader, one.canary())});
--- a/src/ferryroad/peer/table_call.hpp
+++ b/src/ferryroad/peer/table_call.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Calls by which a router takes its copy of an outside table from another router, and their
-/// encoding (schema/wire.fbs).
+/// Calls that replicate an external table from one router to another, and their encoding
+/// (schema/wire.fbs).
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -20,36 +20,41 @@
 
 namespace ferryroad::peer {
 
+/// Request for the rows of a table that changed after a version, or for all rows.
 struct table_request {
     base::router_name sender;
     std::string table;
-    std::uint64_t after = 0;  ///< The asker's copy is complete up to this version.
-    bool whole = false;       ///< The asker needs all rows.
-    /// The answer may wait so long for news.
+    std::uint64_t after = 0;  ///< The sender's copy is complete up to this version.
+    bool whole = false;       ///< The sender needs all rows.
+    /// How long the receiver may hold the call until rows change (long poll).
     std::chrono::milliseconds hold{};
-    bool may_redirect = false;  ///< The answer may be that the owner is to be read.
-    bool may_pack = false;      ///< The asker reads packed rows.
+    bool may_redirect = false;  ///< The response may direct the sender to the table's owner.
+    bool may_pack = false;      ///< The sender can decode packed rows.
 
     friend bool operator==(const table_request&, const table_request&) = default;
 };
 
+/// Response to `table_request`.
 struct table_answer {
-    bool known = false;  ///< Whether the sender has a copy; else the rest says nothing.
-    bool whole = false;  ///< `rows` are all there are; else those that changed.
-    std::uint64_t version = 0;
+    bool known = false;  ///< Whether the responder has a copy; if not, ignore the other fields.
+    bool whole = false;  ///< Whether `rows` are all rows of the table or only changed ones.
+    std::uint64_t version = 0;  ///< Version of the responder's copy; no row is newer.
     std::vector<coordination::reading::record> rows;
-    /// The owner was asked this long after the request arrived; negative: before.
+    /// Time from the arrival of the request to the responder's last query of the owner; negative if
+    /// the query came first.
     std::chrono::microseconds confirmed_after{};
-    std::chrono::milliseconds owner_time{};  ///< The owner's steady clock, as it answered.
-    /// What is new is large, and to be read from the owner: there are no rows here.
+    std::chrono::milliseconds owner_time{};  ///< Steady clock of the owner at its response.
+    /// The changes are too large to forward and must be read from the owner; there are no rows
+    /// here.
     bool at_owner = false;
-    /// The rows in place of `rows`, for those who may get them so. Decoded answers have `rows`.
+    /// Compressed rows, sent instead of `rows` if the request allows it. Decoding unpacks them into
+    /// `rows`.
     std::optional<packed_rows> packed;
 
     friend bool operator==(const table_answer&, const table_answer&) = default;
 };
 
-/// Thread-safe, as all here.
+/// All functions of this file are thread-safe.
 message_bytes encode(const table_request& request);
 message_bytes encode(const table_answer& answer);
 /// @return the message, or `malformed`.
--- a/src/ferryroad/peer/table_call_codec.cpp
+++ b/src/ferryroad/peer/table_call_codec.cpp
@@ -11,8 +11,8 @@
 
 using coordination::reading::record;
 
-/// Longer than any router holds a call.
-constexpr std::uint32_t longest_hold_milliseconds = 60'000;
+/// Upper bound of the hold time; routers use shorter ones.
+constexpr std::uint32_t max_hold_milliseconds = 60'000;
 
 offset<flatbuffers::Vector<std::uint8_t>> write_block(buffer_builder& builder,
                                                       const std::optional<packed_rows>& packed) {
@@ -31,11 +31,11 @@
     return unpack(packed);
 }
 
-void require_no_newer(field_reader& reader, const table_answer& answer) {
-    const bool none_newer =
+void require_no_newer_rows(field_reader& reader, const table_answer& answer) {
+    const bool all_covered =
         std::all_of(answer.rows.begin(), answer.rows.end(),
                     [&](const record& row) { return row.version <= answer.version; });
-    reader.require(none_newer, "rows no newer than the copy");
+    reader.require(all_covered, "rows no newer than the copy");
 }
 
 }  // namespace
@@ -44,7 +44,7 @@
     buffer_builder builder;
     const auto sender = write_text(builder, request.sender.value);
     const auto table = write_text(builder, request.table);
-    const auto hold = std::clamp<std::int64_t>(request.hold.count(), 0, longest_hold_milliseconds);
+    const auto hold = std::clamp<std::int64_t>(request.hold.count(), 0, max_hold_milliseconds);
     return finish(builder, wire::CreateTableRequest(builder, sender, table, request.after,
                                                     request.whole, static_cast<std::uint32_t>(hold),
                                                     request.may_redirect, request.may_pack));
@@ -75,7 +75,7 @@
     request.table = reader.text(root->name(), codec_limits::name_bytes);
     request.after = root->after();
     request.whole = root->whole();
-    reader.require(root->hold_milliseconds() <= longest_hold_milliseconds, "a shorter hold");
+    reader.require(root->hold_milliseconds() <= max_hold_milliseconds, "a shorter hold");
     request.hold = std::chrono::milliseconds(root->hold_milliseconds());
     request.may_redirect = root->may_redirect();
     request.may_pack = root->may_pack();
@@ -105,7 +105,7 @@
     } else {
         answer.rows = read_rows(reader, root->rows());
     }
-    require_no_newer(reader, answer);
+    require_no_newer_rows(reader, answer);
     answer.confirmed_after = std::chrono::microseconds(root->confirmed_after());
     answer.owner_time = std::chrono::milliseconds(root->owner_milliseconds());
     answer.at_owner = root->at_owner();
--- a/src/ferryroad/peer/table_row_codec.cpp
+++ b/src/ferryroad/peer/table_row_codec.cpp
@@ -10,8 +10,8 @@
 
 using coordination::reading::record;
 
-/// Longer than the keys of the tables that are followed.
-constexpr std::size_t key_bytes = 256;
+/// Limit of the size of a key, in bytes; keys of the replicated tables are shorter.
+constexpr std::size_t max_key_bytes = 256;
 
 offset<wire::TableRow> write_row(buffer_builder& builder, const record& row) {
     const auto key = write_text(builder, row.key);
@@ -20,7 +20,7 @@
 }
 
 record read_row(field_reader& reader, const wire::TableRow& row) {
-    return {reader.text(row.key(), key_bytes), reader.value(row.value()), row.version(),
+    return {reader.text(row.key(), max_key_bytes), reader.value(row.value()), row.version(),
             row.deleted()};
 }
 
@@ -32,7 +32,7 @@
 }
 
 std::vector<record> read_rows(field_reader& reader, const row_list* rows) {
-    return reader.list(rows, most_table_rows,
+    return reader.list(rows, max_table_rows,
                        [&](const auto& row) { return read_row(reader, row); });
 }
 
--- a/src/ferryroad/peer/table_row_codec.hpp
+++ b/src/ferryroad/peer/table_row_codec.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Rows of outside tables on the wire, alone and within packed blocks. Private to this folder.
+/// Encoding of rows of external tables, as lists and within packed blocks. Internal to this
+/// directory.
 #pragma once
 
 #include "ferryroad/coordination/reading/record.hpp"
@@ -13,7 +14,7 @@
 
 offset<row_list> write_rows(buffer_builder& builder,
                             const std::vector<coordination::reading::record>& rows);
-/// The first fault is the reader's.
+/// Reads rows. Faults are recorded in `reader`.
 std::vector<coordination::reading::record> read_rows(field_reader& reader, const row_list* rows);
 
 }  // namespace ferryroad::peer
--- a/src/ferryroad/peer/traffic_notice.hpp
+++ b/src/ferryroad/peer/traffic_notice.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// What routers tell each other of their traffic, and its encoding (schema/wire.fbs). Notices
-/// travel in datagrams of their own; all parts are absolute or numbered, so that one that is
-/// lost, doubled or late does no harm.
+/// Message in which a router informs the others about its traffic, with its encoding
+/// (schema/wire.fbs). Notices are sent in datagrams of their own; their content is absolute or
+/// numbered, so that lost, duplicated or late notices do no harm.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -17,7 +17,7 @@
 
 namespace ferryroad::peer {
 
-/// An engine showed the version of its weights.
+/// Version of the weights that an engine has reported.
 struct seen_weights {
     base::engine_name engine;
     std::string model;
@@ -26,17 +26,17 @@
     friend bool operator==(const seen_weights&, const seen_weights&) = default;
 };
 
-/// An engine is about to take these weights.
+/// Weights that an engine is about to load.
 struct loading_weights {
     base::engine_name engine;
     std::string model;
     std::uint64_t version = 0;
-    base::duration ready_in{};  ///< It takes no requests for about so long from now.
+    base::duration ready_in{};  ///< Approximate time until the engine accepts requests again.
 
     friend bool operator==(const loading_weights&, const loading_weights&) = default;
 };
 
-/// An engine was asked to read these parts a moment ago.
+/// Parts that an engine was recently asked to read into its cache.
 struct expected_state {
     base::engine_name engine;
     std::vector<core::prefix::scoped_part> parts;
@@ -44,7 +44,8 @@
     friend bool operator==(const expected_state&, const expected_state&) = default;
 };
 
-/// Changes numbered `from` up to `next` of what a holder keeps; a part with 0 tokens is gone.
+/// Changes of the parts that a holder keeps, numbered from `from` up to but not including `next`. A
+/// part with 0 tokens was removed.
 struct holder_changes {
     base::engine_name holder;
     std::uint64_t epoch = 0;
@@ -55,10 +56,12 @@
     friend bool operator==(const holder_changes&, const holder_changes&) = default;
 };
 
+/// One notice.
 struct traffic_notice {
     base::router_name sender;
     base::zone_name zone;
-    /// Whether `loads` is all of the sender's load; else it says nothing of it.
+    /// Whether `loads` is the sender's complete load. If not, `loads` says nothing about the
+    /// sender's load.
     bool loads_complete = false;
     std::vector<core::placement::stated_load> loads;
     std::vector<seen_weights> weights;
@@ -69,9 +72,9 @@
     friend bool operator==(const traffic_notice&, const traffic_notice&) = default;
 };
 
-/// Thread-safe, as all here.
+/// All functions of this file are thread-safe.
 message_bytes encode(const traffic_notice& notice);
-/// @return whether the datagram says that it is a notice; it may still be malformed.
+/// @return whether the datagram carries the identifier of a notice; it may still be malformed.
 bool is_traffic_notice(std::string_view bytes);
 /// @return the notice, or `malformed`.
 result<traffic_notice> decode_traffic_notice(std::string_view bytes);
--- a/src/ferryroad/peer/traffic_notice_codec.cpp
+++ b/src/ferryroad/peer/traffic_notice_codec.cpp
@@ -12,12 +12,13 @@
 using core::placement::stated_load;
 using core::prefix::scoped_part;
 
-/// Tells notices from other datagrams.
+/// Distinguishes notices from other datagrams.
 constexpr const char* notice_identifier = "FRTN";
-/// More than fit into a datagram.
-constexpr std::size_t most_entries = 512;
+/// Limit of list entries; more than fit into a datagram.
+constexpr std::size_t max_entries = 512;
 
-std::uint32_t bounded(std::uint64_t number) {
+/// @return the number, or the largest 32-bit value if it is above that.
+std::uint32_t saturate(std::uint64_t number) {
     return static_cast<std::uint32_t>(
         std::min<std::uint64_t>(number, std::numeric_limits<std::uint32_t>::max()));
 }
@@ -32,7 +33,7 @@
     std::vector<std::uint32_t> tokens;
     for (const scoped_part& part : parts) {
         keys.push_back(part.key.value);
-        tokens.push_back(bounded(part.tokens));
+        tokens.push_back(saturate(part.tokens));
     }
     return {builder.CreateVector(keys), builder.CreateVector(tokens)};
 }
@@ -42,9 +43,9 @@
                                     const flatbuffers::Vector<std::uint32_t>* tokens) {
     const std::size_t size = keys == nullptr ? 0 : keys->size();
     const std::size_t counted = tokens == nullptr ? 0 : tokens->size();
-    reader.require(size == counted && size <= most_entries, "tokens for each part");
+    reader.require(size == counted && size <= max_entries, "tokens for each part");
     std::vector<scoped_part> parts;
-    if (size != counted || size > most_entries) {
+    if (size != counted || size > max_entries) {
         return parts;
     }
     for (std::size_t index = 0; index < size; ++index) {
@@ -59,8 +60,8 @@
     const auto refuses =
         std::chrono::duration_cast<std::chrono::milliseconds>(load.refuses_for).count();
     return wire::CreateEngineLoad(
-        builder, engine, load.running, bounded(load.prefill_tokens),
-        bounded(static_cast<std::uint64_t>(std::max<std::int64_t>(0, refuses))));
+        builder, engine, load.running, saturate(load.prefill_tokens),
+        saturate(static_cast<std::uint64_t>(std::max<std::int64_t>(0, refuses))));
 }
 
 offset<wire::EngineWeights> write_weights(buffer_builder& builder, const seen_weights& seen) {
@@ -74,7 +75,7 @@
     const auto model = write_shared(builder, one.model);
     const auto left = std::max<std::int64_t>(0, base::to_milliseconds(one.ready_in));
     return wire::CreateEngineLoading(builder, engine, model, one.version,
-                                     bounded(static_cast<std::uint64_t>(left)));
+                                     saturate(static_cast<std::uint64_t>(left)));
 }
 
 offset<wire::ExpectedState> write_expected(buffer_builder& builder,
@@ -103,14 +104,14 @@
     return weights;
 }
 
-/// What is told to last longer than this is taken to be wrong.
-constexpr std::uint32_t longest_loading_ms = 10000;
+/// Longer loading times are capped to this, since they are implausible.
+constexpr std::uint32_t max_loading_ms = 10000;
 
-loading_weights read_loading(field_reader& reader, const wire::EngineLoading& told) {
-    loading_weights one{reader.name<base::engine_name>(told.engine()),
-                        reader.text(told.model(), codec_limits::name_bytes), told.version(),
-                        std::chrono::milliseconds(
-                            std::min<std::uint32_t>(told.milliseconds(), longest_loading_ms))};
+loading_weights read_loading(field_reader& reader, const wire::EngineLoading& encoded) {
+    loading_weights one{
+        reader.name<base::engine_name>(encoded.engine()),
+        reader.text(encoded.model(), codec_limits::name_bytes), encoded.version(),
+        std::chrono::milliseconds(std::min<std::uint32_t>(encoded.milliseconds(), max_loading_ms))};
     reader.require(!one.model.empty(), "a model");
     return one;
 }
@@ -163,15 +164,15 @@
     notice.sender = reader.name<base::router_name>(root->sender());
     notice.zone = reader.optional_name<base::zone_name>(root->zone());
     notice.loads_complete = root->loads_complete();
-    notice.loads = reader.list(root->loads(), most_entries,
+    notice.loads = reader.list(root->loads(), max_entries,
                                [&](const auto& one) { return read_load(reader, one); });
-    notice.weights = reader.list(root->weights(), most_entries,
+    notice.weights = reader.list(root->weights(), max_entries,
                                  [&](const auto& one) { return read_weights(reader, one); });
-    notice.expected = reader.list(root->expected(), most_entries,
+    notice.expected = reader.list(root->expected(), max_entries,
                                   [&](const auto& one) { return read_expected(reader, one); });
-    notice.changes = reader.list(root->changes(), most_entries,
+    notice.changes = reader.list(root->changes(), max_entries,
                                  [&](const auto& one) { return read_changes(reader, one); });
-    notice.loading = reader.list(root->loading(), most_entries,
+    notice.loading = reader.list(root->loading(), max_entries,
                                  [&](const auto& one) { return read_loading(reader, one); });
     if (reader.fault() != nullptr) {
         return malformed(std::string("traffic notice: expected ") + reader.fault());
--- a/src/ferryroad/platform/batching_table.cpp
+++ b/src/ferryroad/platform/batching_table.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// @return limits under which each call carries one item.
-batch_limits one_item(batch_limits limits) {
+/// @return the limits, changed to one item per call.
+batch_limits one_item_per_call(batch_limits limits) {
     limits.items_per_call = 1;
     return limits;
 }
@@ -22,8 +22,9 @@
           [this](std::vector<transaction> all) { return inner_.transact(std::move(all)); }),
       reads_(scheduler, pacer_, limits.batch,
              [this](std::vector<row_key> keys) { return read_each(std::move(keys)); }),
-      scans_(scheduler, pacer_, one_item(limits.batch),
-             [this](std::vector<scan_order> orders) { return scan_each(std::move(orders)); }) {}
+      scans_(
+          scheduler, pacer_, one_item_per_call(limits.batch),
+          [this](std::vector<scan_request> requests) { return scan_each(std::move(requests)); }) {}
 
 runtime::task<result<std::vector<transaction_outcome>>> batching_table::transact(
     std::vector<transaction> transactions) {
@@ -32,15 +33,15 @@
 
 runtime::task<result<std::vector<batching_table::found_row>>> batching_table::read_each(
     std::vector<row_key> keys) {
-    std::vector<row_key> asked = keys;
-    auto rows = co_await inner_.read(std::move(asked));
+    std::vector<row_key> requested = keys;
+    auto rows = co_await inner_.read(std::move(requested));
     if (!rows) {
         co_return rows.error();
     }
     std::unordered_map<row_key, row> by_key;
-    for (row& one : *rows) {
-        row_key key = one.key;
-        by_key.emplace(std::move(key), std::move(one));
+    for (row& current : *rows) {
+        row_key key = current.key;
+        by_key.emplace(std::move(key), std::move(current));
     }
     std::vector<found_row> found;
     found.reserve(keys.size());
@@ -57,20 +58,20 @@
         co_return found.error();
     }
     std::vector<row> rows;
-    for (found_row& one : *found) {
-        if (one) {
-            rows.push_back(std::move(*one));
+    for (found_row& current : *found) {
+        if (current) {
+            rows.push_back(std::move(*current));
         }
     }
     co_return rows;
 }
 
 runtime::task<result<std::vector<batching_table::page>>> batching_table::scan_each(
-    std::vector<scan_order> orders) {
+    std::vector<scan_request> requests) {
     std::vector<page> pages;
-    for (scan_order& order : orders) {
-        auto rows =
-            co_await inner_.scan(std::move(order.prefix), std::move(order.after), order.limit);
+    for (scan_request& request : requests) {
+        auto rows = co_await inner_.scan(std::move(request.prefix), std::move(request.after),
+                                         request.limit);
         if (!rows) {
             co_return rows.error();
         }
@@ -81,9 +82,9 @@
 
 runtime::task<result<std::vector<row>>> batching_table::scan(std::string prefix, row_key after,
                                                              std::uint32_t limit) {
-    std::vector<scan_order> orders;
-    orders.push_back({std::move(prefix), std::move(after), limit});
-    auto pages = co_await scans_.submit(std::move(orders));
+    std::vector<scan_request> requests;
+    requests.push_back({std::move(prefix), std::move(after), limit});
+    auto pages = co_await scans_.submit(std::move(requests));
     if (!pages) {
         co_return pages.error();
     }
--- a/src/ferryroad/platform/batching_table.hpp
+++ b/src/ferryroad/platform/batching_table.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// A table whose calls are merged and paced: the claims of many requests cost few calls.
+/// A table that batches and rate-limits its calls, so that the transactions of many requests need
+/// few calls.
 #pragma once
 
 #include "ferryroad/platform/call_batcher.hpp"
@@ -7,21 +8,22 @@
 
 namespace ferryroad::platform {
 
+/// Limits of a `batching_table`.
 struct batching_limits {
     pacer_limits pace;
     batch_limits batch;
 };
 
-/// Group commit over another table. Concurrent `transact` calls share one call of the inner
-/// table, as do concurrent `read` calls; `scan` keeps the same pace. A refusal by the rate
-/// limit changed nothing and is tried again, with jitter, within the wait limit. Every other
-/// error, and `answer_lost` first of all, goes to each caller that was part of the call.
+/// Group commit for another table. Concurrent `transact` calls share one call of the inner table,
+/// as do concurrent `read` calls; `scan` calls are sent one by one under the same rate limit. A
+/// call refused by the service's rate limit had no effect and is retried, with jitter, within the
+/// wait limit. Any other error, notably `answer_lost`, is returned to every caller in the batch.
 ///
-/// Used from the event loop's thread; lives as long as the coroutines that call it. Cancelling
-/// a caller takes its transactions back unless they are on their way.
+/// Must be used from the event loop's thread and outlive the coroutines that call it. Cancelling a
+/// caller withdraws its transactions unless their call has already been sent.
 class batching_table final : public table {
   public:
-    /// @param scheduler and `inner` outlive this.
+    /// @param scheduler and `inner` must outlive this object.
     batching_table(runtime::scheduler& scheduler, table& inner, batching_limits limits);
 
     runtime::task<result<std::vector<transaction_outcome>>> transact(
@@ -31,7 +33,7 @@
                                                  std::uint32_t limit) override;
 
   private:
-    struct scan_order {
+    struct scan_request {
         std::string prefix;
         row_key after;
         std::uint32_t limit = 0;
@@ -40,13 +42,13 @@
     using page = std::vector<row>;
 
     runtime::task<result<std::vector<found_row>>> read_each(std::vector<row_key> keys);
-    runtime::task<result<std::vector<page>>> scan_each(std::vector<scan_order> orders);
+    runtime::task<result<std::vector<page>>> scan_each(std::vector<scan_request> requests);
 
     table& inner_;
     call_pacer pacer_;
     call_batcher<transaction, transaction_outcome> transactions_;
     call_batcher<row_key, found_row> reads_;
-    call_batcher<scan_order, page> scans_;
+    call_batcher<scan_request, page> scans_;
 };
 
 }  // namespace ferryroad::platform
--- a/src/ferryroad/platform/http_services.cpp
+++ b/src/ferryroad/platform/http_services.cpp
@@ -14,14 +14,14 @@
 constexpr unsigned status_rate_limited = 429;
 constexpr unsigned status_server_fault = 500;
 constexpr unsigned status_unavailable = 503;
-/// Where a refusal by the rate limit doesn't say when to come back.
+/// Used when a rate limit refusal doesn't state a delay.
 constexpr base::duration default_retry_after = std::chrono::seconds(1);
 
-error violation(const http::error& fault) {
+error protocol_error(const http::error& fault) {
     return {error_code::protocol_violation, fault.message, std::nullopt};
 }
 
-/// @return an exchange's fault in the platform's terms.
+/// Maps a failure of the HTTP exchange to an error of this layer.
 error error_of(const http::error& fault, http_caller::effect kind) {
     const bool changes = kind == http_caller::effect::changes;
     switch (fault.code) {
@@ -36,12 +36,13 @@
         case http::error_code::too_large:
             break;
     }
-    // An answer that can't be read says nothing of the change.
+    // An unreadable response doesn't tell whether the change happened.
     return {changes ? error_code::answer_lost : error_code::protocol_violation, fault.message,
             std::nullopt};
 }
 
-/// @return `retry_after_ms` of the body, else the header's seconds.
+/// @return `retry_after_ms` of the body; otherwise the seconds of the Retry-After header; otherwise
+/// the default.
 base::duration retry_after_of(const http::response& answer) {
     if (const auto body = http::parse_json(answer.body)) {
         const http::object_reader reader(*body);
@@ -61,7 +62,7 @@
     return usable ? std::chrono::seconds(seconds) : default_retry_after;
 }
 
-/// @return the refusal that a status other than 200 stands for.
+/// Maps a response with a status other than 200 to an error.
 error error_of(const http::response& answer, http_caller::effect kind) {
     const std::string message = "status " + std::to_string(answer.status) + ": " + answer.body;
     switch (answer.status) {
@@ -74,11 +75,11 @@
         default:
             break;
     }
-    // A server's own fault (500, 502, 504) may have come after the change.
-    const bool may_have_changed =
+    // The server may have failed (500, 502, 504) after it made the change.
+    const bool may_have_taken_effect =
         answer.status >= status_server_fault && kind == http_caller::effect::changes;
-    return {may_have_changed ? error_code::answer_lost : error_code::protocol_violation, message,
-            std::nullopt};
+    return {may_have_taken_effect ? error_code::answer_lost : error_code::protocol_violation,
+            message, std::nullopt};
 }
 
 http::request json_request(std::string target, std::string body) {
@@ -97,7 +98,7 @@
     return message;
 }
 
-/// @return the decoded body, or the call's error.
+/// @return the decoded body, or the error of the call or of decoding.
 template <typename T>
 result<T> decode_answer(const result<std::string>& body, decoded<T> (*decode)(std::string_view)) {
     if (!body) {
@@ -105,7 +106,7 @@
     }
     auto value = decode(*body);
     if (!value) {
-        return violation(value.error());
+        return protocol_error(value.error());
     }
     return std::move(*value);
 }
@@ -114,9 +115,10 @@
 
 runtime::task<result<std::string>> http_caller::call(http::request message, effect kind,
                                                      base::duration limit) {
-    const http::resend again =
+    const http::resend resend_policy =
         kind == effect::reads ? http::resend::allowed : http::resend::forbidden;
-    auto answer = co_await client_.send(platform_.address, std::move(message), limit, again);
+    auto answer =
+        co_await client_.send(platform_.address, std::move(message), limit, resend_policy);
     if (!answer) {
         co_return error_of(answer.error(), kind);
     }
@@ -132,10 +134,12 @@
     const auto body = co_await caller_.call(std::move(message), http_caller::effect::changes,
                                             caller_.platform().call_limit);
     auto outcomes = decode_answer(body, decode_outcomes);
-    // A read body that isn't the protocol's says nothing of the change.
+    // A body that doesn't conform to the protocol doesn't tell whether the change happened.
     const bool unreadable = body && (!outcomes || outcomes->size() != transactions.size());
     if (unreadable) {
-        co_return error{error_code::answer_lost, "the table's answer can't be read", std::nullopt};
+        co_return error{error_code::answer_lost,
+                        "response to a table transaction is unreadable or incomplete",
+                        std::nullopt};
     }
     co_return outcomes;
 }
--- a/src/ferryroad/platform/http_services.hpp
+++ b/src/ferryroad/platform/http_services.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// The platform's services over HTTP with JSON (docs/reference/platform-protocol.md).
+/// Clients of the platform's services that speak JSON over HTTP
+/// (docs/reference/platform-protocol.md).
 #pragma once
 
 #include "ferryroad/http/client.hpp"
@@ -10,27 +11,31 @@
 
 namespace ferryroad::platform {
 
-/// Where the platform is and how long a call may take.
+/// Address of the platform and timeouts of calls to it.
 struct http_platform {
     base::endpoint address;
     base::duration call_limit = std::chrono::seconds(5);
+    /// For calls of the object store.
     base::duration object_limit = std::chrono::seconds(30);
 };
 
-/// Sends calls to the platform and tells its refusals apart:
-/// no connection or 503 is `unavailable`, 429 `rate_limited`, 404 `not_found`. Where the call
-/// changes something, all that leaves it open whether it did is `answer_lost`: a connection cut
-/// or silent after sending, an answer that can't be read, another status from 500 on. For calls
-/// that only read, cut and silent are `unavailable`. The rest is `protocol_violation`.
+/// Sends calls to the platform and maps failures to error codes:
+/// no connection or status 503 is `unavailable`, 429 `rate_limited`, 404 `not_found`. For a call
+/// that changes data, every failure after which the change may have happened is `answer_lost`: a
+/// lost connection or a timeout after sending, an unreadable response, another status from 500 on.
+/// For calls that only read, a lost connection or a timeout is `unavailable`. All other failures
+/// are `protocol_violation`.
 class http_caller {
   public:
-    /// @param client outlives this.
+    /// @param client must outlive this object.
     http_caller(http::client& client, http_platform platform)
         : client_(client), platform_(std::move(platform)) {}
 
+    /// Whether a call only reads data or may change it.
     enum class effect { reads, changes };
 
-    /// @return the body of an answer with status 200.
+    /// Sends a call.
+    /// @return the body of a response with status 200.
     runtime::task<result<std::string>> call(http::request message, effect kind,
                                             base::duration limit);
     const http_platform& platform() const { return platform_; }
@@ -40,6 +45,7 @@
     http_platform platform_;
 };
 
+/// The platform's transactional table.
 class http_table final : public table {
   public:
     http_table(http::client& client, http_platform platform)
@@ -55,6 +61,7 @@
     http_caller caller_;
 };
 
+/// The platform's object store.
 class http_object_store final : public object_store {
   public:
     http_object_store(http::client& client, http_platform platform)
@@ -67,6 +74,7 @@
     http_caller caller_;
 };
 
+/// The platform's list of machines.
 class http_machine_list final : public machine_list {
   public:
     http_machine_list(http::client& client, http_platform platform)
--- a/src/ferryroad/platform/json_codec.cpp
+++ b/src/ferryroad/platform/json_codec.cpp
@@ -16,7 +16,8 @@
 using boost::json::value;
 using http::object_reader;
 
-/// Encodes a list under one name, the shape of all of the protocol's bodies.
+/// Encodes an object with a single member that holds a list, the shape of most bodies of the
+/// protocol.
 template <typename Item, typename Encode>
 std::string encode_list(std::string_view name, const std::vector<Item>& items, Encode encode_one) {
     array list;
@@ -29,7 +30,7 @@
     return http::to_text(body);
 }
 
-/// Decodes a member's list. The first fault sticks in `reader`.
+/// Decodes a member that is a list. The first fault is recorded in `reader` and ends the list.
 template <typename Item, typename Decode>
 std::vector<Item> read_list(object_reader& reader, std::string_view name, Decode decode_one) {
     std::vector<Item> items;
@@ -46,6 +47,7 @@
     return items;
 }
 
+/// Decodes a body written by `encode_list`.
 template <typename Item, typename Decode>
 decoded<std::vector<Item>> decode_list(std::string_view body, std::string_view name,
                                        Decode decode_one) {
--- a/src/ferryroad/platform/json_codec.hpp
+++ b/src/ferryroad/platform/json_codec.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Bodies of the platform protocol (docs/reference/platform-protocol.md), both ways: the
-/// adapters and the stand-in speak through the same functions.
+/// Encoding and decoding of the bodies of the platform protocol
+/// (docs/reference/platform-protocol.md), used by the clients and by the emulated platform.
 #pragma once
 
 #include "ferryroad/http/errors.hpp"
@@ -13,7 +13,7 @@
 
 namespace ferryroad::platform {
 
-/// A decoded body, or `malformed` with the field at fault.
+/// A decoded body, or `malformed` with the name of the invalid field.
 template <typename T>
 using decoded = runtime::result<T, http::error>;
 
--- a/test/engine/http_client_faults_test.cpp
+++ b/test/engine/http_client_faults_test.cpp
@@ -37,7 +37,7 @@
      error_code::refused_bad_request, proof::unknown, 0},
     {"no time left", "{}", [](generation_request& sent) { sent.time_left = 0ms; },
      error_code::timed_out, proof::not_sent, 0},
-    {"shutting down", R"({"leaving":true})", unchanged, error_code::refused_leaving, proof::not_run,
+    {"leaving", R"({"leaving":true})", unchanged, error_code::refused_leaving, proof::not_run,
      0},
     {"overloaded", R"({"refuse_overloaded":true})", unchanged, error_code::refused_overloaded,
      proof::not_run, 0},
--- a/test/peer/codec_test.cpp
+++ b/test/peer/codec_test.cpp
@@ -1,4 +1,5 @@
-/// Messages survive the way over the wire; bytes that are no message are an error, not a crash.
+/// Round trips of all messages; malformed, truncated or corrupted bytes must give an error and
+/// never crash.
 #include "ferryroad/peer/codec.hpp"
 
 #include "ferryroad/base/random.hpp"
@@ -18,7 +19,7 @@
 using namespace ferryroad;
 using namespace ferryroad::peer;
 
-/// Every sample's bytes: datagrams first.
+/// @return the encoded samples, datagrams first.
 std::vector<message_bytes> all_encoded() {
     std::vector<message_bytes> all;
     for (const datagram& message : test::sample_datagrams()) {
@@ -30,7 +31,7 @@
     return all;
 }
 
-/// Decodes as both kinds, whatever the bytes are.
+/// Decodes the bytes as a datagram and as a call, ignoring the results.
 void decode_both(std::string_view bytes) {
     (void)decode_datagram(bytes);
     (void)decode_call(bytes);
@@ -96,12 +97,12 @@
     {"no bytes", [] { return message_bytes(); }},
     {"three bytes", [] { return message_bytes("abc"); }},
     {"text", [] { return message_bytes("GET / HTTP/1.1\r\nHost: router\r\n\r\n"); }},
-    {"root offset outside", [] { return message_bytes(64, '\xff'); }},
+    {"root offset out of bounds", [] { return message_bytes(64, '\xff'); }},
     {"zeros", [] { return message_bytes(64, '\0'); }},
     {"unknown body", unknown_union},
     {"body type without body", body_without_table},
     {"unknown member state", state_out_of_range},
-    {"host name in place of an IP number", [] { return member_at("localhost"); }},
+    {"host name instead of an IP address", [] { return member_at("localhost"); }},
     {"empty address", [] { return member_at(""); }},
     {"empty member name", [] { return encode(with_body(join_request{test::sample_member("")})); }},
     {"name too long",
@@ -120,7 +121,7 @@
     {"negative quota", [] { return encode(with_body(quota_of(-1.0))); }},
     {"quota not a number",
      [] { return encode(with_body(quota_of(std::numeric_limits<double>::quiet_NaN()))); }},
-    {"endless quota",
+    {"infinite quota",
      [] { return encode(with_body(quota_of(std::numeric_limits<double>::infinity()))); }},
     {"quota without a rate",
      [] {
@@ -160,7 +161,7 @@
     }
 }
 
-Test(codec, every_field_of_a_report_and_an_answer_is_kept) {
+Test(codec, prefix_reports_and_configuration_answers_keep_every_field) {
     const auto calls = test::sample_calls();
     for (const call& message : calls) {
         const auto decoded = decode_call(encode(message));
@@ -183,7 +184,7 @@
     }
 }
 
-Test(codec, bytes_at_any_alignment) {
+Test(codec, bytes_of_any_alignment) {
     const auto message = test::sample_datagrams().front();
     const message_bytes bytes = encode(message);
     for (std::size_t shift = 0; shift < 8; ++shift) {
--- a/test/peer/crash_message_test.cpp
+++ b/test/peer/crash_message_test.cpp
@@ -1,4 +1,5 @@
-/// News of engines that ended survive the way over the wire; other bytes are an error.
+/// Round trip and size of crash messages; invalid or corrupted bytes must give an error and never
+/// crash.
 #include "ferryroad/peer/crash_message.hpp"
 
 #include "ferryroad/base/random.hpp"
@@ -27,7 +28,7 @@
 
 }  // namespace
 
-Test(crash_message, survives_the_wire) {
+Test(crash_message, round_trips) {
     const auto news = decode_crash_news(encode(sample()));
     cr_assert(news.has_value());
     cr_assert(*news == sample());
@@ -36,7 +37,7 @@
     cr_assert_not(is_crash_news(""));
 }
 
-Test(crash_message, as_much_as_is_sent_fits_into_a_datagram) {
+Test(crash_message, largest_message_fits_into_a_datagram) {
     crash_news news;
     news.sender.value = std::string(64, 'r');
     told_crash crash{base::engine_name(std::string(64, 'e')), 100h, 101h, {}, 9};
@@ -51,23 +52,23 @@
     cr_assert_leq(encode(cleared).size(), largest_datagram);
 }
 
-Test(crash_message, what_is_wrong_is_refused) {
-    crash_news nameless = sample();
-    nameless.sender.value.clear();
-    cr_assert_not(decode_crash_news(encode(nameless)).has_value());
+Test(crash_message, invalid_content_is_malformed) {
+    crash_news no_sender = sample();
+    no_sender.sender.value.clear();
+    cr_assert_not(decode_crash_news(encode(no_sender)).has_value());
     crash_news no_engine = sample();
     no_engine.crashes[0].engine.value.clear();
     cr_assert_not(decode_crash_news(encode(no_engine)).has_value());
-    crash_news ancient = sample();
-    ancient.crashes[0].age = 100h * 1000;
-    cr_assert_not(decode_crash_news(encode(ancient)).has_value());
+    crash_news excessive_age = sample();
+    excessive_age.crashes[0].age = 100h * 1000;
+    cr_assert_not(decode_crash_news(encode(excessive_age)).has_value());
 }
 
-Test(crash_message, random_bytes_break_nothing) {
+Test(crash_message, random_corruption_does_not_crash) {
     base::seeded_random random(20261203);
-    const message_bytes good = encode(sample());
+    const message_bytes original = encode(sample());
     for (int round = 0; round < 20000; ++round) {
-        message_bytes bytes = good;
+        message_bytes bytes = original;
         for (std::uint64_t change = 1 + random.below(6); change > 0; --change) {
             bytes[random.below(bytes.size())] = static_cast<char>(random.below(256));
         }
--- a/test/peer/release_message_test.cpp
+++ b/test/peer/release_message_test.cpp
@@ -1,4 +1,5 @@
-/// Reports and notices of a release survive the way over the wire; other bytes are an error.
+/// Round trips and sizes of release reports and notices; invalid or corrupted bytes must give an
+/// error and never crash.
 #include "ferryroad/peer/release_message.hpp"
 
 #include "ferryroad/base/random.hpp"
@@ -52,7 +53,7 @@
 
 }  // namespace
 
-Test(release_message, survives_the_wire) {
+Test(release_message, round_trips) {
     const auto report = decode_release_report(encode(sample_report()));
     cr_assert(report.has_value());
     cr_assert(*report == sample_report());
@@ -71,7 +72,7 @@
     }
 }
 
-Test(release_message, kinds_are_told_from_each_other) {
+Test(release_message, kinds_are_distinguished) {
     const message_bytes report = encode(sample_report());
     const message_bytes notice = encode(sample_notice());
     cr_assert(is_release_report(report) && !is_release_notice(report));
@@ -96,19 +97,19 @@
     cr_assert(*decode_release_report(encode(report)) == report);
 }
 
-Test(release_message, what_is_wrong_is_refused) {
-    release_report nameless = sample_report();
-    nameless.sender.value.clear();
-    cr_assert_not(decode_release_report(encode(nameless)).has_value());
+Test(release_message, invalid_content_is_malformed) {
+    release_report no_sender = sample_report();
+    no_sender.sender.value.clear();
+    cr_assert_not(decode_release_report(encode(no_sender)).has_value());
     release_report no_pool = sample_report();
     no_pool.pool.value.clear();
     cr_assert_not(decode_release_report(encode(no_pool)).has_value());
-    release_report too_many = sample_report();
-    too_many.counts[base::route_name("a")].canary.failed = 8;
-    cr_assert_not(decode_release_report(encode(too_many)).has_value());
-    release_report too_long = sample_report();
-    too_long.counts[base::route_name("a")].current.durations[3] = 1;
-    cr_assert_not(decode_release_report(encode(too_long)).has_value());
+    release_report too_many_failures = sample_report();
+    too_many_failures.counts[base::route_name("a")].canary.failed = 8;
+    cr_assert_not(decode_release_report(encode(too_many_failures)).has_value());
+    release_report too_many_durations = sample_report();
+    too_many_durations.counts[base::route_name("a")].current.durations[3] = 1;
+    cr_assert_not(decode_release_report(encode(too_many_durations)).has_value());
     release_notice no_target = sample_notice();
     no_target.told->target.value.clear();
     cr_assert_not(decode_release_notice(encode(no_target)).has_value());
@@ -117,11 +118,11 @@
     cr_assert_not(decode_release_notice(encode(no_version)).has_value());
 }
 
-Test(release_message, random_bytes_break_nothing) {
+Test(release_message, random_corruption_does_not_crash) {
     base::seeded_random random(20261202);
-    for (const message_bytes& good : {encode(sample_report()), encode(sample_notice())}) {
+    for (const message_bytes& original : {encode(sample_report()), encode(sample_notice())}) {
         for (int round = 0; round < 10000; ++round) {
-            message_bytes bytes = good;
+            message_bytes bytes = original;
             for (std::uint64_t change = 1 + random.below(6); change > 0; --change) {
                 bytes[random.below(bytes.size())] = static_cast<char>(random.below(256));
             }
--- a/test/peer/sample_messages.hpp
+++ b/test/peer/sample_messages.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One datagram and one call of each kind, every field set.
+/// Sample datagrams and calls of every kind, with all fields set.
 #pragma once
 
 #include "ferryroad/peer/messages.hpp"
--- a/test/peer/table_call_test.cpp
+++ b/test/peer/table_call_test.cpp
@@ -1,4 +1,5 @@
-/// Calls for copies of tables survive the wire; other bytes are an error, not a crash.
+/// Round trips and sizes of table calls; invalid or corrupted bytes must give an error and never
+/// crash.
 #include "ferryroad/peer/table_call.hpp"
 
 #include "ferryroad/base/random.hpp"
@@ -25,7 +26,7 @@
     return answer;
 }
 
-/// As engines write them, each with an address of its own.
+/// Rows as engines write them, each with another address.
 std::vector<coordination::reading::record> engine_rows(std::size_t count) {
     std::vector<coordination::reading::record> rows;
     for (std::size_t index = 0; index < count; ++index) {
@@ -51,7 +52,7 @@
 
 }  // namespace
 
-Test(table_call, survives_the_wire) {
+Test(table_call, round_trips) {
     const auto request = decode_table_request(encode(sample_request()));
     cr_assert(request.has_value());
     cr_assert(*request == sample_request());
@@ -60,20 +61,20 @@
     cr_assert(*answer == sample_answer());
 }
 
-Test(table_call, an_answer_may_name_the_owner) {
+Test(table_call, answer_may_redirect_to_the_owner) {
     table_answer answer = sample_answer();
     answer.rows.clear();
     answer.at_owner = true;
     cr_assert(*decode_table_answer(encode(answer)) == answer);
 }
 
-Test(table_call, an_answer_without_a_copy_says_so) {
+Test(table_call, answer_without_a_copy) {
     const auto answer = decode_table_answer(encode(table_answer{}));
     cr_assert(answer.has_value());
     cr_assert(!answer->known);
 }
 
-Test(table_call, what_makes_no_sense_is_refused) {
+Test(table_call, invalid_content_is_malformed) {
     table_answer newer_row = sample_answer();
     newer_row.version = 119;
     cr_assert(!decode_table_answer(encode(newer_row)));
@@ -81,14 +82,14 @@
     long_key.rows.front().key = std::string(1000, 'k');
     cr_assert(!decode_table_answer(encode(long_key)));
     table_answer many_rows = sample_answer();
-    many_rows.rows.assign(most_table_rows + 1, {"a", "", 1, false});
+    many_rows.rows.assign(max_table_rows + 1, {"a", "", 1, false});
     cr_assert(!decode_table_answer(encode(many_rows)));
-    table_request unsigned_request = sample_request();
-    unsigned_request.sender.value.clear();
-    cr_assert(!decode_table_request(encode(unsigned_request)));
+    table_request no_sender = sample_request();
+    no_sender.sender.value.clear();
+    cr_assert(!decode_table_request(encode(no_sender)));
 }
 
-Test(table_call, a_hold_has_bounds) {
+Test(table_call, hold_time_is_bounded) {
     table_request request = sample_request();
     request.hold = 24h;
     cr_assert(decode_table_request(encode(request))->hold <= 1min);
@@ -96,7 +97,7 @@
     cr_assert(decode_table_request(encode(request))->hold == 0ms);
 }
 
-Test(table_call, other_bytes_do_no_harm) {
+Test(table_call, random_corruption_does_not_crash) {
     base::seeded_random random(11);
     const std::string request = encode(sample_request());
     const std::string answer = encode(sample_answer());
@@ -112,7 +113,7 @@
     }
 }
 
-Test(table_call, a_list_of_20000_engines_fits_into_one_answer_and_shrinks) {
+Test(table_call, list_of_20000_engines_is_compressed_into_one_answer) {
     const auto rows = engine_rows(20'000);
     const table_answer answer = packed_answer(rows);
     cr_assert_lt(answer.packed->block.size() * least_packing_ratio, answer.packed->unpacked_bytes);
@@ -122,29 +123,29 @@
     cr_assert(!decoded->packed);
 }
 
-Test(table_call, packed_rows_that_make_no_sense_are_refused) {
+Test(table_call, invalid_packed_rows_are_malformed) {
     table_answer newer_row = packed_answer(engine_rows(3));
     newer_row.version = 2;
     cr_assert(!decode_table_answer(encode(newer_row)));
-    table_answer torn = packed_answer(engine_rows(100));
-    torn.packed->block.resize(torn.packed->block.size() / 2);
-    cr_assert(!decode_table_answer(encode(torn)));
-    table_answer boasting = packed_answer(engine_rows(3));
-    boasting.packed->unpacked_bytes = largest_call + 1;
-    cr_assert(!decode_table_answer(encode(boasting)));
-    table_answer longer = packed_answer(engine_rows(3));
-    ++longer.packed->unpacked_bytes;
-    cr_assert(!decode_table_answer(encode(longer)));
+    table_answer truncated = packed_answer(engine_rows(100));
+    truncated.packed->block.resize(truncated.packed->block.size() / 2);
+    cr_assert(!decode_table_answer(encode(truncated)));
+    table_answer oversized = packed_answer(engine_rows(3));
+    oversized.packed->unpacked_bytes = max_call_bytes + 1;
+    cr_assert(!decode_table_answer(encode(oversized)));
+    table_answer wrong_size = packed_answer(engine_rows(3));
+    ++wrong_size.packed->unpacked_bytes;
+    cr_assert(!decode_table_answer(encode(wrong_size)));
 }
 
-Test(table_call, other_bytes_in_packed_rows_do_no_harm) {
+Test(table_call, random_corruption_of_packed_rows_does_not_crash) {
     base::seeded_random random(12);
-    const table_answer sound = packed_answer(engine_rows(20));
+    const table_answer original = packed_answer(engine_rows(20));
     for (int round = 0; round < 5000; ++round) {
-        table_answer answer = sound;
+        table_answer answer = original;
         std::string& block = answer.packed->block;
         block[random.below(block.size())] = static_cast<char>(random.below(256));
-        answer.packed->unpacked_bytes = random.below(4 * sound.packed->unpacked_bytes);
+        answer.packed->unpacked_bytes = random.below(4 * original.packed->unpacked_bytes);
         static_cast<void>(decode_table_answer(encode(answer)));
     }
 }
--- a/test/peer/traffic_notice_test.cpp
+++ b/test/peer/traffic_notice_test.cpp
@@ -1,4 +1,5 @@
-/// Traffic notices survive the way over the wire; other bytes are an error, not a crash.
+/// Round trip and size of traffic notices; invalid or corrupted bytes must give an error and never
+/// crash.
 #include "ferryroad/peer/traffic_notice.hpp"
 
 #include "ferryroad/base/random.hpp"
@@ -27,13 +28,13 @@
 
 }  // namespace
 
-Test(traffic_notice, survives_the_wire) {
+Test(traffic_notice, round_trips) {
     const auto decoded = decode_traffic_notice(encode(sample()));
     cr_assert(decoded.has_value());
     cr_assert(*decoded == sample());
 }
 
-Test(traffic_notice, an_empty_one_is_a_sign_of_life) {
+Test(traffic_notice, empty_notice_round_trips) {
     traffic_notice notice;
     notice.sender.value = "r1";
     const auto decoded = decode_traffic_notice(encode(notice));
@@ -41,14 +42,14 @@
     cr_assert(*decoded == notice);
 }
 
-Test(traffic_notice, a_full_one_fits_into_a_datagram) {
+Test(traffic_notice, full_notices_fit_into_a_datagram) {
     traffic_notice notice = sample();
     notice.loads.clear();
     for (int index = 0; index < 24; ++index) {
         const std::string name = "i-0123456789" + std::to_string(index);
         notice.loads.push_back({base::engine_name(name), 30, 100000, 100ms});
     }
-    notice.loading.clear();  // Told in notices of their own, as below.
+    notice.loading.clear();  // Sent in separate notices, checked below.
     cr_assert_leq(encode(notice).size(), largest_datagram);
     traffic_notice rollout;
     rollout.sender.value = "front-with-a-long-name-1";
@@ -67,10 +68,10 @@
     cr_assert_leq(encode(changes).size(), largest_datagram);
 }
 
-Test(traffic_notice, what_is_wrong_is_refused) {
-    traffic_notice nameless = sample();
-    nameless.sender.value.clear();
-    cr_assert_not(decode_traffic_notice(encode(nameless)).has_value());
+Test(traffic_notice, invalid_content_is_malformed) {
+    traffic_notice no_sender = sample();
+    no_sender.sender.value.clear();
+    cr_assert_not(decode_traffic_notice(encode(no_sender)).has_value());
     traffic_notice backwards = sample();
     backwards.changes[0].next = 1;
     cr_assert_not(decode_traffic_notice(encode(backwards)).has_value());
@@ -80,11 +81,11 @@
     cr_assert_not(decode_traffic_notice("").has_value());
 }
 
-Test(traffic_notice, random_bytes_break_nothing) {
+Test(traffic_notice, random_corruption_does_not_crash) {
     base::seeded_random random(20261202);
-    const message_bytes good = encode(sample());
+    const message_bytes original = encode(sample());
     for (int round = 0; round < 20000; ++round) {
-        message_bytes bytes = good;
+        message_bytes bytes = original;
         for (std::uint64_t change = 1 + random.below(6); change > 0; --change) {
             bytes[random.below(bytes.size())] = static_cast<char>(random.below(256));
         }
