--- a/emulator/platform/machine_history.cpp
+++ b/emulator/platform/machine_history.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-/// The longest lag that can be asked for.
-constexpr base::duration kept_time = std::chrono::minutes(10);
+/// How long past states are kept, hence the longest lag that `list` can apply.
+constexpr base::duration retention = std::chrono::minutes(10);
 
 }  // namespace
 
@@ -15,18 +15,18 @@
 
 void machine_history::append(machine_map machines, base::monotonic_time now) {
     states_.push_back({now, std::move(machines)});
-    while (states_.size() > 1 && states_[1].since <= now - kept_time) {
+    while (states_.size() > 1 && states_[1].since <= now - retention) {
         states_.pop_front();
     }
 }
 
-void machine_history::put(const platform::machine& one, base::monotonic_time now) {
+void machine_history::put(const platform::machine& added, base::monotonic_time now) {
     machine_map machines = current();
-    const auto found = machines.find(one.name);
-    if (found != machines.end() && found->second == one) {
-        return;  // A renewal; the history stays short.
+    const auto found = machines.find(added.name);
+    if (found != machines.end() && found->second == added) {
+        return;  // A re-registration without changes; a new state would only lengthen the history.
     }
-    machines[one.name] = one;
+    machines[added.name] = added;
     append(std::move(machines), now);
 }
 
@@ -45,8 +45,8 @@
         if (past->since > seen_at) {
             continue;
         }
-        for (const auto& [name, one] : past->machines) {
-            machines.push_back(one);
+        for (const auto& [name, listed] : past->machines) {
+            machines.push_back(listed);
         }
         break;
     }
--- a/emulator/platform/machine_history.hpp
+++ b/emulator/platform/machine_history.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The machine list as it was some time ago.
+/// Past states of the machine list, from which the emulated platform serves a stale list.
 #pragma once
 
 #include "ferryroad/base/time.hpp"
@@ -12,12 +12,16 @@
 
 namespace ferryroad::emulator {
 
-/// Machines by name with their past states. `now` never falls.
+/// Machines by name, with the past states of the list. `now` must not decrease from call to
+/// call. Not thread-safe.
 class machine_history {
   public:
-    void put(const platform::machine& one, base::monotonic_time now);
+    /// Adds the machine or replaces the one of the same name.
+    void put(const platform::machine& added, base::monotonic_time now);
+    /// Removes the machine of that name, if there is one.
     void remove(const std::string& name, base::monotonic_time now);
-    /// @return the list as it was `lag` before `now`, in order of names.
+    /// @return the list as it was `lag` before `now`, sorted by name; empty if nothing was
+    /// recorded by then.
     std::vector<platform::machine> list(base::monotonic_time now, base::duration lag) const;
 
   private:
--- a/emulator/platform/model_services.hpp
+++ b/emulator/platform/model_services.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// The platform's ports straight on its model, without a network: for the virtual-time
-/// simulator and for tests. Refusals and faults are those of the HTTP adapters.
+/// Implementations of the platform interfaces that call the platform model directly, without a
+/// network. The virtual-time simulator and tests use them; they report the same refusals and
+/// faults as the HTTP adapters.
 #pragma once
 
 #include "emulator/platform/platform_model.hpp"
@@ -9,13 +10,15 @@
 
 namespace ferryroad::emulator {
 
-/// Passes a call through the model's decision. Model and scheduler outlive it.
+/// Applies the model's admission decision to a call. The model and the scheduler must outlive
+/// this object.
 class model_gate {
   public:
     model_gate(platform_model& model, runtime::scheduler& scheduler)
         : model_(model), scheduler_(scheduler) {}
 
-    /// Lets the call's time pass. @return the refusal, or nothing where it is admitted.
+    /// Waits for the call's simulated delay. @return the refusal, or `nullopt` if the call is
+    /// admitted.
     runtime::task<std::optional<platform::error>> admit(platform_service service);
     platform_model& model() { return model_; }
     runtime::scheduler& scheduler() { return scheduler_; }
@@ -25,6 +28,7 @@
     runtime::scheduler& scheduler_;
 };
 
+/// `platform::table` on the model. The model and the scheduler must outlive it.
 class model_table final : public platform::table {
   public:
     model_table(platform_model& model, runtime::scheduler& scheduler) : gate_(model, scheduler) {}
@@ -41,6 +45,7 @@
     model_gate gate_;
 };
 
+/// `platform::object_store` on the model. The model and the scheduler must outlive it.
 class model_object_store final : public platform::object_store {
   public:
     model_object_store(platform_model& model, runtime::scheduler& scheduler)
@@ -53,6 +58,7 @@
     model_gate gate_;
 };
 
+/// `platform::machine_list` on the model. The model and the scheduler must outlive it.
 class model_machine_list final : public platform::machine_list {
   public:
     model_machine_list(platform_model& model, runtime::scheduler& scheduler)
--- a/emulator/platform/platform_program.cpp
+++ b/emulator/platform/platform_program.cpp
@@ -28,7 +28,7 @@
     return name == "error" ? runtime::log_level::error : runtime::log_level::info;
 }
 
-/// Stops at the first signal; later ones change nothing.
+/// Stops gracefully on the first signal; later signals have no effect.
 runtime::task<void> stop_at_signal(boost::asio::io_context& context, platform_server& server) {
     boost::asio::signal_set signals(context, SIGTERM, SIGINT);
     co_await signals.async_wait(boost::asio::use_awaitable);
--- a/emulator/platform/platform_program.hpp
+++ b/emulator/platform/platform_program.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The program ferry-platform apart from its settings' reading.
+/// Settings and main function of the program ferry-platform.
 #pragma once
 
 #include "emulator/platform/platform_model.hpp"
@@ -10,17 +10,19 @@
 
 namespace ferryroad::emulator {
 
+/// Settings of ferry-platform, with their defaults.
 struct platform_settings {
     base::endpoint listen;
     platform_options options;
-    std::uint64_t seed = 1;  ///< Of the calls' times.
+    std::uint64_t seed = 1;  ///< Of the random call delays.
     std::string log_level = "info";
 };
 
-/// @return the settings' schema; `target` outlives it.
+/// @return the schema that binds the settings to `target`, which must outlive it.
 settings::schema describe(platform_settings& target);
 
-/// Serves until SIGTERM or SIGINT, then stops in a planned way. @return the exit code.
+/// Serves until SIGTERM or SIGINT, then closes its connections gracefully.
+/// @return the program's exit code.
 int run_platform(const platform_settings& settings);
 
 }  // namespace ferryroad::emulator
--- a/emulator/platform/platform_server.cpp
+++ b/emulator/platform/platform_server.cpp
@@ -14,7 +14,8 @@
 constexpr std::uint32_t default_scan_limit = 1000;
 constexpr std::size_t object_limit_bytes = std::size_t{64} * 1024 * 1024;
 
-/// @return what follows `prefix` in the path, decoded; nothing where the path is another.
+/// @return the decoded rest of the path after `prefix`, or `nullopt` if the path has another
+/// prefix.
 std::optional<std::string> name_below(std::string_view path, std::string_view prefix) {
     if (!path.starts_with(prefix) || path.size() == prefix.size()) {
         return std::nullopt;
--- a/emulator/platform/platform_server.hpp
+++ b/emulator/platform/platform_server.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// HTTP around the platform's model (docs/reference/platform-protocol.md).
+/// HTTP server for the platform model. docs/reference/platform-protocol.md describes the protocol.
 #pragma once
 
 #include "emulator/platform/platform_model.hpp"
@@ -10,22 +10,24 @@
 
 namespace ferryroad::emulator {
 
-/// Owned by the composition root, which keeps it until the loop has ended.
+/// Serves the platform protocol on one address. Used only on the event loop's thread; its owner
+/// must keep it until the loop has ended, since handlers refer to it.
 class platform_server {
   public:
-    /// @param scheduler outlives this.
+    /// @param scheduler must outlive this object.
     platform_server(runtime::scheduler& scheduler, platform_options options);
 
-    /// @return the address listened on. @throws boost::system::system_error where it can't.
+    /// @return the address listened on. @throws boost::system::system_error if it can't listen.
     base::endpoint listen(const base::endpoint& address) { return server_.listen(address); }
-    /// Planned stop. @return once the last connection is closed.
+    /// Stops accepting requests. Returns once the last connection is closed.
     runtime::task<void> drain() { return server_.drain(); }
 
     platform_model& model() { return model_; }
 
   private:
     runtime::task<void> handle(http::request message, http::response_writer& writer);
-    /// Lets a call's time pass. @return the refusal, or nothing where it is admitted.
+    /// Waits for the call's simulated delay. @return the refusal, or `nullopt` if the call is
+    /// admitted.
     runtime::task<std::optional<http::response>> admit(platform_service service);
     runtime::task<void> serve_table(http::request message, http::response_writer& writer);
     runtime::task<http::response> serve_weights(std::string path);
--- a/emulator/platform/rate_limiter.hpp
+++ b/emulator/platform/rate_limiter.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Calls per second as a token bucket; time is passed in.
+/// Token-bucket rate limiter that reads no clock: the caller passes in the time.
 #pragma once
 
 #include "ferryroad/base/time.hpp"
@@ -8,19 +8,22 @@
 
 namespace ferryroad::emulator {
 
+/// Limits the calls to one service. Not thread-safe.
 class rate_limiter {
   public:
-    /// @param per_second calls; 0: no limit. @param burst that much time's calls may come at
-    /// once, at least one call.
+    /// @param per_second calls admitted per second; 0 means no limit.
+    /// @param burst sets the bucket's capacity: the calls that the rate admits in this time, but
+    /// at least one call.
     rate_limiter(double per_second, base::duration burst);
 
-    /// Takes one call. @return nothing where it is within the rate, else the time until one is.
+    /// Counts one call against the rate; `now` must not decrease between calls.
+    /// @return `nullopt` if the call is admitted, else the time until a call will be.
     std::optional<base::duration> take(base::monotonic_time now);
-    /// Another rate from now on; the bucket starts full.
+    /// Changes the rate and fills the bucket.
     void set_rate(double per_second);
 
   private:
-    double most_tokens() const;
+    double bucket_capacity() const;
 
     double per_second_;
     base::duration burst_;
--- a/emulator/platform/table_model.cpp
+++ b/emulator/platform/table_model.cpp
@@ -16,9 +16,9 @@
     return row{key, found->second.value, found->second.version};
 }
 
-platform::transaction_outcome table_model::commit(const platform::transaction& one) {
+platform::transaction_outcome table_model::commit(const platform::transaction& requested) {
     platform::transaction_outcome outcome;
-    for (const platform::row_condition& condition : one.conditions) {
+    for (const platform::row_condition& condition : requested.conditions) {
         row current = row_at(condition.key);
         if (current.version != condition.version) {
             outcome.conflicting = std::move(current);
@@ -26,11 +26,11 @@
         }
     }
     outcome.committed = true;
-    if (one.writes.empty()) {
+    if (requested.writes.empty()) {
         return outcome;
     }
     outcome.version = row_version(++last_version_);
-    for (const platform::row_write& write : one.writes) {
+    for (const platform::row_write& write : requested.writes) {
         if (write.value) {
             cells_[write.key.value] = cell{*write.value, outcome.version};
         } else {
@@ -44,8 +44,8 @@
     const std::vector<platform::transaction>& transactions) {
     std::vector<platform::transaction_outcome> outcomes;
     outcomes.reserve(transactions.size());
-    for (const platform::transaction& one : transactions) {
-        outcomes.push_back(commit(one));
+    for (const platform::transaction& requested : transactions) {
+        outcomes.push_back(commit(requested));
     }
     return outcomes;
 }
--- a/emulator/platform/table_model.hpp
+++ b/emulator/platform/table_model.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The transactional table as a value: rows with versions, conditional transactions.
+/// In-memory model of the transactional table: versioned rows and conditional transactions.
 #pragma once
 
 #include "ferryroad/platform/services.hpp"
@@ -12,9 +12,11 @@
 
 namespace ferryroad::emulator {
 
+/// Performs no I/O and reads no clock. Not thread-safe.
 class table_model {
   public:
-    /// Each transaction commits or conflicts on its own, in order.
+    /// Applies the transactions in order; each commits or conflicts independently of the others.
+    /// @return one outcome per transaction, in the same order.
     std::vector<platform::transaction_outcome> transact(
         const std::vector<platform::transaction>& transactions);
     /// @return the rows that exist, in the order of `keys`.
@@ -29,8 +31,8 @@
         platform::row_version version;
     };
 
-    platform::transaction_outcome commit(const platform::transaction& one);
-    /// @return the row as it stands; version 0 if absent.
+    platform::transaction_outcome commit(const platform::transaction& requested);
+    /// @return the current row, or a row with version 0 if there is none.
     platform::row row_at(const platform::row_key& key) const;
 
     std::map<std::string, cell, std::less<>> cells_;
