--- a/emulator/engine/application_model.hpp
+++ b/emulator/engine/application_model.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// An emulated application service as a pure state machine: each call takes a set time.
+/// Model of an application service as a state machine without I/O. Each call takes a fixed time.
 #pragma once
 
 #include "emulator/engine/model_types.hpp"
@@ -11,27 +11,30 @@
 
 namespace ferryroad::emulator {
 
+/// Speed and limit of an emulated application service.
 struct application_model_settings {
     base::engine_name name;
     base::duration service_time = std::chrono::milliseconds(5);
-    std::uint32_t concurrent_calls = 64;  ///< More are refused as overloaded.
+    std::uint32_t concurrent_calls = 64;  ///< Further calls are refused as overloaded.
 };
 
-/// A call under way: its answer is due at `ready_at`.
+/// An admitted call, whose answer is due at `ready_at`.
 struct call_ticket {
     attempt_handle attempt;
     base::monotonic_time ready_at{};
 };
 
-/// Admits calls, counts them as executed, finishes them. `now` never falls.
+/// Admits calls, records their executions and finishes them. `now` must not decrease from call to
+/// call. Not thread-safe.
 class application_model {
   public:
     application_model(application_model_settings settings, base::incarnation process);
 
-    /// Runs the call, or refuses it. A known attempt id is refused with proof `unknown`.
+    /// Admits the call or refuses it. An attempt id that this process has already admitted is
+    /// refused with proof `unknown`, since that attempt may have run.
     outcome<call_ticket> submit(const engine::application_request& request,
                                 base::monotonic_time now);
-    /// The call's time has come. @return false where a crash took it.
+    /// Completes a call whose time is over. @return false if a crash has ended it before.
     bool finish(attempt_handle attempt);
 
     engine::load_report load() const;
@@ -40,8 +43,10 @@
     void restart(base::incarnation process);
     void set_leaving(bool leaving) { leaving_ = leaving; }
     void set_refuse_overloaded(bool refuse) { refuse_overloaded_ = refuse; }
+    /// Calls admitted from now on take `factor` times as long.
     void set_slow_factor(double factor) { slow_factor_ = factor; }
 
+    /// @return whether no call is running.
     bool idle() const { return running_.empty(); }
     base::incarnation process() const { return process_; }
     const std::vector<execution_record>& executions() const { return executions_; }
@@ -55,7 +60,8 @@
     bool leaving_ = false;
     bool refuse_overloaded_ = false;
     double slow_factor_ = 1.0;
-    std::unordered_map<base::attempt_id, attempt_handle> known_attempts_;  ///< Of this process.
+    std::unordered_map<base::attempt_id, attempt_handle>
+        known_attempts_;  ///< Admitted by the current process.
     std::unordered_map<attempt_handle, base::attempt_id> running_;
     std::vector<execution_record> executions_;
 };
--- a/emulator/engine/application_service.cpp
+++ b/emulator/engine/application_service.cpp
@@ -28,7 +28,7 @@
     return value;
 }
 
-/// @return the call, its path without the protocol's prefix.
+/// @return the call, with the protocol's prefix removed from its path.
 engine::application_request read_call(http::request request) {
     engine::application_request call;
     call.request = base::request_id(header_text(request, protocol::request_id_header));
--- a/emulator/engine/application_service.hpp
+++ b/emulator/engine/application_service.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// HTTP around the emulated application service: echoes each request's body.
+/// HTTP interface of the emulated application service, which echoes each request's body.
 #pragma once
 
 #include "emulator/engine/application_model.hpp"
@@ -9,9 +9,10 @@
 
 namespace ferryroad::emulator {
 
+/// Runs the application model in real time. Used on the event loop's thread.
 class application_service final : public engine_service {
   public:
-    /// @param scheduler outlives this.
+    /// @param scheduler must outlive this object.
     application_service(runtime::scheduler& scheduler, application_model_settings settings,
                         base::incarnation process);
 
--- a/emulator/engine/attempt_streams.hpp
+++ b/emulator/engine/attempt_streams.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which connection reads which attempt's events.
+/// Routes the events of each attempt to the connection that reads them.
 #pragma once
 
 #include "emulator/engine/model_types.hpp"
@@ -12,27 +12,29 @@
 
 namespace ferryroad::emulator {
 
-/// One connection's claim on an attempt's events.
+/// The queue of events for one connection that reads an attempt.
 struct attempt_reader {
     explicit attempt_reader(const boost::asio::any_io_executor& executor) : changed(executor) {}
 
     std::deque<model_output> pending;
-    bool replaced = false;  ///< Another connection reads the attempt now.
-    notifier changed;
+    bool replaced = false;  ///< Another connection has taken over the attempt.
+    notifier changed;       ///< Notified when `pending` or `replaced` has changed.
 };
 
-/// The newest reader of an attempt gets its events; an older one is told that it is replaced.
+/// Keeps one reader per attempt. A new reader replaces the older one, which is notified. Used on
+/// the event loop's thread.
 class attempt_streams {
   public:
     explicit attempt_streams(boost::asio::any_io_executor executor)
         : executor_(std::move(executor)) {}
 
+    /// Registers a new reader for the attempt, in place of an earlier one.
     std::shared_ptr<attempt_reader> open(attempt_handle attempt);
 
-    /// @return true where `reader` was still the attempt's own.
+    /// Removes the reader unless it was replaced. @return whether it was removed.
     bool close(attempt_handle attempt, const std::shared_ptr<attempt_reader>& reader);
 
-    /// Hands events to their readers; those nobody reads are dropped.
+    /// Queues events at their readers. Events of attempts without a reader are dropped.
     void dispatch(std::vector<model_output> outputs);
 
   private:
--- a/emulator/engine/batch_scheduler.cpp
+++ b/emulator/engine/batch_scheduler.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-/// Weight of the newest step in measured rates.
-constexpr double measurement_weight = 0.2;
+/// Weight of the newest step in the smoothed rates.
+constexpr double newest_step_weight = 0.2;
 
 double smooth(double before, double measured) {
-    return before + measurement_weight * (measured - before);
+    return before + newest_step_weight * (measured - before);
 }
 
 }  // namespace
@@ -58,7 +58,7 @@
     for (const attempt_handle attempt : ended.decode) {
         decode_one(attempt, ended.ends_at);
     }
-    measure(ended);
+    update_measured_rates(ended);
     begin_step(ended.ends_at);
     observer_.stepped(ended.ends_at);
 }
@@ -119,9 +119,9 @@
 
 void batch_scheduler::plan_prefill(running_step& planned, base::monotonic_time now) {
     std::uint32_t budget = settings_.prefill_chunk_tokens;
-    std::set<queue_position> passed;
+    std::set<queue_position> in_step;
     while (budget > 0) {
-        const std::optional<queue_position> next = next_to_prefill(passed);
+        const std::optional<queue_position> next = next_to_prefill(in_step);
         if (!next) {
             return;
         }
@@ -133,15 +133,15 @@
         planned.prefill.push_back({next->attempt, tokens});
         planned.prefill_tokens += tokens;
         budget -= tokens;
-        passed.insert(*next);
+        in_step.insert(*next);
     }
 }
 
 std::optional<batch_scheduler::queue_position> batch_scheduler::next_to_prefill(
-    const std::set<queue_position>& passed) const {
+    const std::set<queue_position>& planned) const {
     std::optional<queue_position> best;
     for (const queue_position& position : prefilling_) {
-        if (!passed.contains(position)) {
+        if (!planned.contains(position)) {
             best = position;
             break;
         }
@@ -168,7 +168,7 @@
 void batch_scheduler::finish_prefill(const prefill_share& share, base::monotonic_time now) {
     const auto found = sequences_.find(share.attempt);
     if (found == sequences_.end()) {
-        return;  // cancelled during the step
+        return;  // Cancelled during the step.
     }
     sequence& filled = found->second;
     filled.prefilled += share.tokens;
@@ -199,7 +199,7 @@
 void batch_scheduler::decode_one(attempt_handle attempt, base::monotonic_time now) {
     const auto found = sequences_.find(attempt);
     if (found == sequences_.end()) {
-        return;  // cancelled during the step
+        return;  // Cancelled during the step.
     }
     sequence& decoded = found->second;
     const std::uint32_t end_token = decoded.request.end_token;
@@ -231,15 +231,16 @@
 
 void batch_scheduler::set_prefill_total(sequence& changed, std::uint32_t cached_pieces) {
     const std::uint32_t cached_tokens = cached_pieces * piece_tokens_;
-    const std::uint32_t missing = changed.request.prompt_tokens > cached_tokens
-                                      ? changed.request.prompt_tokens - cached_tokens
-                                      : 1;  // the last token always runs through the model
+    const std::uint32_t missing =
+        changed.request.prompt_tokens > cached_tokens
+            ? changed.request.prompt_tokens - cached_tokens
+            : 1;  // Even a fully cached prompt needs its last token processed.
     figures_.queued_prefill_tokens -= changed.prefill_total;
     changed.prefill_total = std::max<std::uint32_t>(1, missing) + changed.request.first_token;
     figures_.queued_prefill_tokens += changed.prefill_total;
 }
 
-void batch_scheduler::measure(const running_step& ended) {
+void batch_scheduler::update_measured_rates(const running_step& ended) {
     if (ended.prefill_tokens == settings_.prefill_chunk_tokens) {
         prefill_rate_ = smooth(prefill_rate_, ended.prefill_tokens / ended.seconds);
     }
--- a/emulator/engine/batch_scheduler.hpp
+++ b/emulator/engine/batch_scheduler.hpp
@@ -1,6 +1,7 @@
 /// @file
 /// Continuous batching of the emulated engine: each step prefills a chunk, highest priority
-/// first, and decodes one token of every sequence whose prefill is done. Pure.
+/// first, and decodes one token of every sequence whose prefill is done. Performs no I/O and reads
+/// no clock.
 #pragma once
 
 #include "emulator/engine/model_types.hpp"
@@ -15,7 +16,7 @@
 
 namespace ferryroad::emulator {
 
-/// One admitted attempt, as the scheduler needs it.
+/// What the scheduler needs to know of an admitted attempt.
 struct sequence_request {
     attempt_handle attempt;
     engine::priority urgency = engine::priority::normal;
@@ -26,7 +27,7 @@
     std::uint32_t end_token = 0;  ///< One past the last token of the answer.
 };
 
-/// What the scheduler tells of its steps, at the times they happened.
+/// Callbacks for the scheduler's progress, each with the simulated time of the event.
 struct scheduler_observer {
     std::function<void(attempt_handle, std::uint32_t cached_pieces, base::monotonic_time)> started;
     std::function<void(attempt_handle, std::uint32_t index, base::monotonic_time)> token;
@@ -34,6 +35,7 @@
     std::function<void(base::monotonic_time)> stepped;  ///< After each step.
 };
 
+/// Current load of the scheduler.
 struct scheduler_figures {
     std::uint32_t running = 0;
     std::uint32_t queued = 0;
@@ -41,27 +43,29 @@
     friend bool operator==(const scheduler_figures&, const scheduler_figures&) = default;
 };
 
-/// Runs sequences through a prefix cache that it borrows.
+/// Schedules sequences and stores their prompts' pieces in a prefix cache that it doesn't own.
+/// Not thread-safe.
 class batch_scheduler {
   public:
-    /// @param settings and `cache` outlive the scheduler.
+    /// @param settings and @p cache must outlive the scheduler.
     batch_scheduler(const engine_model_settings& settings, prefix_cache& cache,
                     scheduler_observer observer);
 
-    /// Queues a sequence; a step begins at once where none is under way.
+    /// Queues a sequence and begins a step if none is running.
     void add(sequence_request request, base::monotonic_time now);
-    /// @return false where it has ended before.
+    /// Removes the sequence. @return false if it has already ended.
     bool cancel(attempt_handle attempt);
-    /// Ends the step that is due at `next_step()` and begins another where there is work.
+    /// Ends the step that is due at `next_step()` and begins the next one if there is work.
+    /// Requires a running step.
     void step();
-    /// @return when the step under way ends.
+    /// @return when the running step ends, or `nullopt` if none is running.
     std::optional<base::monotonic_time> next_step() const;
-    /// Drops all sequences, telling no one.
+    /// Drops all sequences without calling the observer.
     void clear();
 
     /// Steps that begin from now on take `factor` times as long.
     void set_slow_factor(double factor) { slow_factor_ = factor; }
-    /// Nothing happens until then.
+    /// Suspends all progress until `until`; the running step ends correspondingly later.
     void freeze(base::monotonic_time now, base::monotonic_time until);
     /// Ends a freeze early.
     void thaw(base::monotonic_time now);
@@ -88,7 +92,8 @@
         bool started = false;
         std::uint32_t cached_pieces = 0;
         std::uint32_t pinned_pieces = 0;
-        bool chain_broken = false;  ///< A piece found no room: later ones are not stored.
+        bool chain_broken =
+            false;  ///< A piece didn't fit into the cache; the later ones are not stored.
         std::uint32_t prefill_total = 0;
         std::uint32_t prefilled = 0;
         std::uint32_t next_token = 0;
@@ -107,14 +112,15 @@
 
     void begin_step(base::monotonic_time now);
     void plan_prefill(running_step& planned, base::monotonic_time now);
-    std::optional<queue_position> next_to_prefill(const std::set<queue_position>& passed) const;
+    /// @return the first sequence that needs prefill and isn't in `planned`.
+    std::optional<queue_position> next_to_prefill(const std::set<queue_position>& planned) const;
     void start(sequence& started, base::monotonic_time now);
     void finish_prefill(const prefill_share& share, base::monotonic_time now);
     void store_pieces(sequence& filled);
     void decode_one(attempt_handle attempt, base::monotonic_time now);
     void end(attempt_handle attempt);
     void set_prefill_total(sequence& changed, std::uint32_t cached_pieces);
-    void measure(const running_step& ended);
+    void update_measured_rates(const running_step& ended);
 
     const engine_model_settings& settings_;
     prefix_cache& cache_;
--- a/emulator/engine/connection_faults.hpp
+++ b/emulator/engine/connection_faults.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Faults of an emulated engine's connections, which the models know nothing of.
+/// Faults of an emulated engine's connections, which its models don't simulate.
 #pragma once
 
 #include "emulator/engine/faults.hpp"
@@ -12,24 +12,26 @@
 
 namespace ferryroad::emulator {
 
-/// Holds requests while frozen, loses answers, says when streams are cut.
+/// Delays requests while the engine is frozen, drops answers and decides when streams are cut.
+/// Used on the event loop's thread.
 class connection_faults {
   public:
-    /// @param scheduler outlives this.
+    /// @param scheduler must outlive this object.
     explicit connection_faults(runtime::scheduler& scheduler);
 
+    /// Changes the faults in force as the request asks.
     void apply(const fault_request& request);
 
-    /// Returns once the engine isn't frozen.
+    /// Waits until the engine isn't frozen; returns at once if it isn't.
     runtime::task<void> wait_unfrozen();
 
-    /// Sends the answer, or closes the connection where it is to be lost.
+    /// Sends the answer, or closes the connection instead if the answer is to be lost.
     runtime::task<void> answer(http::response reply, http::response_writer& writer);
 
-    /// @return true where the answer at hand is to be lost; counts it.
+    /// Counts down the answers to lose. @return whether the current answer is to be lost.
     bool take_lost_answer();
 
-    /// @return true where a stream is cut that has brought so many tokens on its connection.
+    /// @return whether to cut a stream that has sent `tokens` tokens on its connection.
     bool cuts_after(std::uint32_t tokens) const {
         return cut_after_tokens_ && tokens >= *cut_after_tokens_;
     }
@@ -42,7 +44,7 @@
     std::uint32_t lost_answers_ = 0;
 };
 
-/// The faults that both kinds of engine model have.
+/// Applies the faults that both engine models support.
 template <typename Model>
 void apply_model_faults(Model& model, const fault_request& request) {
     if (request.clear) {
--- a/emulator/engine/engine_model.cpp
+++ b/emulator/engine/engine_model.cpp
@@ -12,7 +12,7 @@
     return {code, engine::proof::not_run, std::move(message), retry_after};
 }
 
-/// Told to callers that found the queue full.
+/// Delay that callers are asked to wait when the queue is full.
 constexpr base::duration overload_retry_after = std::chrono::seconds(1);
 
 }  // namespace
--- a/emulator/engine/engine_model_state.cpp
+++ b/emulator/engine/engine_model_state.cpp
@@ -1,4 +1,4 @@
-/// The emulated engine's slow changes: passing time, warm state, orders, crash and restart.
+/// The parts of `engine_model` that deal with time, warm state, orders, crash and restart.
 #include "emulator/engine/engine_model.hpp"
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Takes the earlier of two times, where there are any.
+/// Sets `least` to `other` if that is earlier; a missing time counts as later than any.
 void lower(std::optional<base::monotonic_time>& least, std::optional<base::monotonic_time> other) {
     if (other && (!least || *other < *least)) {
         least = other;
@@ -20,8 +20,8 @@
             std::nullopt};
 }
 
-/// @return whether `part` is a run of `whole` from the root.
-bool leads(const core::prefix::piece_chain& part, const core::prefix::piece_chain& whole) {
+/// @return whether `part` is a prefix of `whole`.
+bool is_prefix(const core::prefix::piece_chain& part, const core::prefix::piece_chain& whole) {
     return part.size() <= whole.size() && std::equal(part.begin(), part.end(), whole.begin());
 }
 
@@ -48,7 +48,7 @@
         run_due(*next);
         next = next_wakeup();
     }
-    forget_ended(now);
+    drop_ended(now);
 }
 
 void engine_model::run_due(base::monotonic_time at) {
@@ -88,7 +88,7 @@
     }
 }
 
-void engine_model::forget_ended(base::monotonic_time at) {
+void engine_model::drop_ended(base::monotonic_time at) {
     while (!ended_.empty() && ended_.front().at <= at) {
         attempts_.erase(ended_.front().attempt);
         ended_.pop_front();
@@ -191,7 +191,7 @@
     if (state.process != request.source.incarnation) {
         return refuse_import("exported by another process than asked for");
     }
-    if (!leads(state.pieces, request.pieces) || state.checksum != state_checksum(state)) {
+    if (!is_prefix(state.pieces, request.pieces) || state.checksum != state_checksum(state)) {
         return refuse_import("pieces or checksum do not match");
     }
     const std::uint32_t held = cache_.match(state.scope, state.pieces);
--- a/emulator/engine/engine_program.cpp
+++ b/emulator/engine/engine_program.cpp
@@ -33,7 +33,7 @@
     return name == "error" ? runtime::log_level::error : runtime::log_level::info;
 }
 
-/// One running engine with its connections.
+/// A running engine with its server, its client connections and its registration.
 struct running_engine {
     explicit running_engine(const engine_settings& settings)
         : scheduler(context, std::random_device{}()),
@@ -60,8 +60,8 @@
     std::unique_ptr<machine_registration> registration;
 };
 
-void put_on_list(running_engine& engine, const engine_settings& settings,
-                 const base::endpoint& address) {
+void register_machine(running_engine& engine, const engine_settings& settings,
+                      const base::endpoint& address) {
     if (settings.platform.port == 0) {
         return;
     }
@@ -78,7 +78,7 @@
     engine.scheduler.spawn(log_component, engine.registration->keep());
 }
 
-/// Stops at the first signal; later ones change nothing.
+/// Stops gracefully on the first signal; later signals have no effect.
 runtime::task<void> stop_at_signal(running_engine& engine) {
     boost::asio::signal_set signals(engine.context, SIGTERM, SIGINT);
     co_await signals.async_wait(boost::asio::use_awaitable);
@@ -99,7 +99,7 @@
     running_engine engine(settings);
     try {
         const base::endpoint address = engine.server.listen(settings.listen);
-        put_on_list(engine, settings, address);
+        register_machine(engine, settings, address);
         runtime::log(runtime::log_level::info, log_component, "serving",
                      {{"address", address.to_string()},
                       {"engine", settings.engine.name.value},
--- a/emulator/engine/engine_program.hpp
+++ b/emulator/engine/engine_program.hpp
@@ -6,7 +6,7 @@
 
 namespace ferryroad::emulator {
 
-/// Serves until SIGTERM or SIGINT, then finishes what runs.
+/// Serves until SIGTERM or SIGINT, then finishes the running attempts.
 /// @return the program's exit code.
 int run_engine(const engine_settings& settings);
 
--- a/emulator/engine/engine_server.cpp
+++ b/emulator/engine/engine_server.cpp
@@ -17,7 +17,7 @@
 constexpr std::string_view faults_path = "/emulator/faults";
 constexpr base::duration listen_retry = std::chrono::milliseconds(50);
 constexpr base::duration idle_poll = std::chrono::milliseconds(20);
-/// Prompts of a whole context fit.
+/// Large enough for a prompt that fills the whole context.
 constexpr std::size_t largest_body = std::size_t{32} * 1024 * 1024;
 
 }  // namespace
@@ -49,13 +49,13 @@
             json_response(status_ok, executions_json(service_->process(), service_->executions()));
         [[maybe_unused]] const auto sent = co_await writer.send(std::move(reply));
     } else if (request.method == "POST" && path == faults_path) {
-        co_await take_faults(std::move(request.body), writer);
+        co_await handle_faults(std::move(request.body), writer);
     } else {
         co_await service_->handle(std::move(request), writer);
     }
 }
 
-runtime::task<void> engine_server::take_faults(std::string body, http::response_writer& writer) {
+runtime::task<void> engine_server::handle_faults(std::string body, http::response_writer& writer) {
     const auto request = decode_faults(body);
     if (request.has_error()) {
         http::response refusal = malformed_response(request.error());
@@ -78,10 +78,10 @@
     service_->crash();
     server_.reset();
     co_await scheduler_.sleep_for(delay);
-    co_await come_back();
+    co_await reopen();
 }
 
-runtime::task<void> engine_server::come_back() {
+runtime::task<void> engine_server::reopen() {
     const auto clock_number = static_cast<std::uint64_t>(scheduler_.unix_milliseconds());
     const base::incarnation next(std::max(service_->process().value + 1, clock_number));
     service_->restart(next);
@@ -96,7 +96,7 @@
             co_await scheduler_.sleep_for(listen_retry);
         }
     }
-    runtime::log(runtime::log_level::info, log_component, "back after a crash",
+    runtime::log(runtime::log_level::info, log_component, "restarted after an emulated crash",
                  {{"incarnation", std::to_string(next.value)}});
 }
 
--- a/emulator/engine/engine_server.hpp
+++ b/emulator/engine/engine_server.hpp
@@ -11,21 +11,21 @@
 
 namespace ferryroad::emulator {
 
-/// One engine on one address, over all its incarnations. Used from the event loop's thread;
-/// outlives every handler, so is kept until the loop has ended.
+/// Serves one engine on one address across its emulated crashes. Used on the event loop's thread.
+/// Its owner must keep it until the loop has ended, since handlers refer to it.
 class engine_server {
   public:
-    /// @param scheduler outlives this.
+    /// @param scheduler must outlive this object.
     engine_server(runtime::scheduler& scheduler, std::unique_ptr<engine_service> service);
 
-    /// @return the address listened on, kept over crashes.
+    /// @return the address listened on, which stays the same after crashes.
     base::endpoint listen(const base::endpoint& address);
 
-    /// Planned stop: refuses new work, finishes what runs, closes.
+    /// Shuts down gracefully: refuses new requests, finishes running ones and closes.
     runtime::task<void> stop();
 
-    /// Closes all connections and the address, forgets everything but the executions, and
-    /// comes back under a new incarnation after `delay`.
+    /// Emulates a crash: closes all connections and the listening socket, discards all state but
+    /// the execution records, and restarts as a new incarnation after `delay`.
     runtime::task<void> crash(base::duration delay);
 
     /// @return false while crashed.
@@ -35,8 +35,8 @@
   private:
     void open();
     runtime::task<void> handle(http::request request, http::response_writer& writer);
-    runtime::task<void> take_faults(std::string body, http::response_writer& writer);
-    runtime::task<void> come_back();
+    runtime::task<void> handle_faults(std::string body, http::response_writer& writer);
+    runtime::task<void> reopen();
 
     runtime::scheduler& scheduler_;
     std::unique_ptr<engine_service> service_;
--- a/emulator/engine/engine_service.hpp
+++ b/emulator/engine/engine_service.hpp
@@ -10,20 +10,25 @@
 
 namespace ferryroad::emulator {
 
-/// Answers an engine's HTTP requests. Used from the event loop's thread; outlives the
-/// connections it answers on.
+/// Answers an engine's HTTP requests. Used on the event loop's thread; must outlive the
+/// connections that it answers on.
 class engine_service {
   public:
     virtual ~engine_service() = default;
-    /// Answers everything but `/emulator/...`.
+    /// Answers all paths except those below `/emulator/`.
     virtual runtime::task<void> handle(http::request request, http::response_writer& writer) = 0;
-    /// Changes the standing faults; `crash` is the shell's own work.
+    /// Changes the faults in force. Ignores `fault_request::crash`, which `engine_server` handles.
     virtual void apply(const fault_request& request) = 0;
+    /// While leaving, the service refuses new work.
     virtual void set_leaving(bool leaving) = 0;
+    /// Discards all state but the execution records.
     virtual void crash() = 0;
+    /// @param process a higher incarnation than all earlier ones.
     virtual void restart(base::incarnation process) = 0;
+    /// @return whether no work is queued or running.
     virtual bool idle() const = 0;
     virtual base::incarnation process() const = 0;
+    /// @return the executions of all incarnations, oldest first.
     virtual const std::vector<execution_record>& executions() const = 0;
 };
 
@@ -33,10 +38,10 @@
 
 http::response json_response(unsigned status, std::string body);
 
-/// @return the error as the protocol has it, with `Ferryroad-Execution`.
+/// @return the error in the engine protocol's form, with the header `Ferryroad-Execution`.
 http::response error_response(const engine::error& failure);
 
-/// @return a refusal of a request that the engine can't read.
+/// @return the refusal of a request that the engine can't parse.
 http::response malformed_response(const http::error& fault);
 
 }  // namespace ferryroad::emulator
--- a/emulator/engine/event_journal.cpp
+++ b/emulator/engine/event_journal.cpp
@@ -12,8 +12,8 @@
                    update.root,    update.piece,  update.depth};
     added.published_at = now + settings_.lag;
     added.lost = settings_.loss_interval != 0 && next_sequence_ % settings_.loss_interval == 0;
-    if (losing_ > 0) {
-        --losing_;
+    if (to_lose_ > 0) {
+        --to_lose_;
         added.lost = true;
     }
     ++next_sequence_;
@@ -26,7 +26,7 @@
 void event_journal::reset() {
     entries_.clear();
     next_sequence_ = 1;
-    losing_ = 0;
+    to_lose_ = 0;
 }
 
 engine::cache_event_batch event_journal::read(base::incarnation process, std::uint64_t from,
--- a/emulator/engine/faults.hpp
+++ b/emulator/engine/faults.hpp
@@ -11,12 +11,13 @@
 
 namespace ferryroad::emulator {
 
-/// What one call asks for; absent fields change nothing.
+/// The decoded body of `POST /emulator/faults`; absent fields leave the faults unchanged.
 struct fault_request {
-    bool clear = false;  ///< Ends all standing faults first.
+    bool clear = false;  ///< Ends all faults in force first.
     std::optional<double> slow_factor;
     bool crash = false;
-    base::duration restart = std::chrono::milliseconds(500);  ///< After a crash.
+    base::duration restart =
+        std::chrono::milliseconds(500);  ///< Delay from the crash to the restart.
     std::optional<base::duration> freeze;
     std::optional<std::uint32_t> cut_after_tokens;
     std::optional<std::uint32_t> lost_answers;
@@ -25,6 +26,7 @@
     std::optional<bool> refuse_overloaded;
 };
 
+/// @param body of `POST /emulator/faults`. @return the request, or why the body is invalid.
 engine::protocol::decoded<fault_request> decode_faults(std::string_view body);
 
 }  // namespace ferryroad::emulator
--- a/emulator/engine/load_history.hpp
+++ b/emulator/engine/load_history.hpp
@@ -9,7 +9,7 @@
 
 namespace ferryroad::emulator {
 
-/// The part of a load report that lags.
+/// The figures of a load report that are reported with a lag.
 struct load_figures {
     std::uint32_t running = 0;
     std::uint32_t queued = 0;
@@ -18,12 +18,12 @@
     friend bool operator==(const load_figures&, const load_figures&) = default;
 };
 
-/// Keeps as much history as the lag needs.
+/// Recent load figures, kept for as long as the lag requires. Not thread-safe.
 class load_history {
   public:
     explicit load_history(base::duration lag) : lag_(lag) {}
 
-    /// @param now never before that of an earlier call.
+    /// @param now must not be before that of an earlier call.
     void record(base::monotonic_time now, const load_figures& figures) {
         if (!samples_.empty() && samples_.back().figures == figures) {
             return;
@@ -34,7 +34,7 @@
         }
     }
 
-    /// @return the figures in force at `now` less the lag; nought before the first.
+    /// @return the figures at `now` minus the lag; all zero before the first record.
     load_figures read(base::monotonic_time now) const {
         load_figures latest;
         for (const sample& candidate : samples_) {
--- a/emulator/engine/machine_registration.cpp
+++ b/emulator/engine/machine_registration.cpp
@@ -13,10 +13,10 @@
 
 constexpr unsigned status_ok = 200;
 constexpr std::string_view log_component = "engine.registration";
-constexpr base::duration put_limit = std::chrono::seconds(1);
+constexpr base::duration put_timeout = std::chrono::seconds(1);
 constexpr base::duration retry_delay = std::chrono::milliseconds(200);
-constexpr base::duration renewal = std::chrono::seconds(5);
-constexpr int leaving_tries = 5;
+constexpr base::duration renewal_interval = std::chrono::seconds(5);
+constexpr int leaving_attempts = 5;
 
 std::string machine_json(const platform::machine& machine) {
     const bool leaving = machine.state == platform::machine_state::leaving;
@@ -39,21 +39,22 @@
       machine_(std::move(machine)) {}
 
 runtime::task<void> machine_registration::keep() {
-    bool known = false;
+    bool registered = false;
     while (machine_.state == platform::machine_state::live) {
         const bool accepted = co_await put();
-        if (accepted != known) {
+        if (accepted != registered) {
             runtime::log(runtime::log_level::info, log_component,
-                         accepted ? "on the machine list" : "not on the machine list");
-            known = accepted;
+                         accepted ? "registered in the machine list"
+                                  : "registration in the machine list failed; retrying");
+            registered = accepted;
         }
-        co_await scheduler_.sleep_for(accepted ? renewal : retry_delay);
+        co_await scheduler_.sleep_for(accepted ? renewal_interval : retry_delay);
     }
 }
 
 runtime::task<void> machine_registration::mark_leaving() {
     machine_.state = platform::machine_state::leaving;
-    for (int attempt = 0; attempt < leaving_tries; ++attempt) {
+    for (int attempt = 0; attempt < leaving_attempts; ++attempt) {
         const bool accepted = co_await put();
         if (accepted) {
             co_return;
@@ -68,8 +69,8 @@
     message.target = "/emulator/machines/" + machine_.name;
     message.headers.add("Content-Type", "application/json");
     message.body = machine_json(machine_);
-    const auto answer =
-        co_await connections_.send(platform_, std::move(message), put_limit, http::resend::allowed);
+    const auto answer = co_await connections_.send(platform_, std::move(message), put_timeout,
+                                                   http::resend::allowed);
     co_return answer.has_value() && answer->status == status_ok;
 }
 
--- a/emulator/engine/machine_registration.hpp
+++ b/emulator/engine/machine_registration.hpp
@@ -8,21 +8,22 @@
 
 namespace ferryroad::emulator {
 
-/// Used from the event loop's thread.
+/// Registers an engine in the platform's machine list. Used on the event loop's thread.
 class machine_registration {
   public:
-    /// @param scheduler and `connections` outlive this.
+    /// @param scheduler and @p connections must outlive this object.
     machine_registration(runtime::scheduler& scheduler, http::client& connections,
                          base::endpoint platform, platform::machine machine);
 
-    /// Puts the machine on the list and again at intervals, should the list be lost; tries
-    /// again soon where that fails. Ends after `mark_leaving`.
+    /// Registers the machine and repeats that periodically in case the platform loses its list; a
+    /// failed call is retried sooner. Ends after `mark_leaving`.
     runtime::task<void> keep();
 
-    /// Says that the machine is leaving; gives up after a few tries.
+    /// Marks the machine as leaving; gives up after a few failed calls.
     runtime::task<void> mark_leaving();
 
   private:
+    /// @return whether the platform accepted the machine's current state.
     runtime::task<bool> put();
 
     runtime::scheduler& scheduler_;
--- a/emulator/engine/model_service.cpp
+++ b/emulator/engine/model_service.cpp
@@ -19,9 +19,9 @@
 
 constexpr unsigned status_ok = 200;
 constexpr std::string_view log_component = "engine.model";
-constexpr base::duration state_fetch_limit = std::chrono::seconds(10);
+constexpr base::duration state_fetch_timeout = std::chrono::seconds(10);
 constexpr base::duration longest_event_wait = std::chrono::seconds(30);
-/// Between two looks for new cache events where none is on its way.
+/// Interval at which a waiting call looks for new cache events if none is due to be published.
 constexpr base::duration shortest_event_wait = std::chrono::milliseconds(10);
 
 engine::error unknown_path() {
@@ -65,7 +65,7 @@
     }
 }
 
-void model_service::settle() {
+void model_service::dispatch_outputs() {
     streams_.dispatch(model_.advance(scheduler_.now()));
     wake_.notify();
 }
@@ -134,7 +134,7 @@
 
 runtime::task<void> model_service::stream(attempt_handle attempt, http::response_writer& writer) {
     const auto reader = streams_.open(attempt);
-    settle();
+    dispatch_outputs();
     stream_ending ending = stream_ending::cut;
     if (!faults_.take_lost_answer()) {
         stream_writer lines(model_.execution(attempt).attempt, reader, faults_, writer);
@@ -146,7 +146,7 @@
     const bool was_reading = streams_.close(attempt, reader);
     if (ending != stream_ending::whole && was_reading) {
         model_.detach(attempt, scheduler_.now());
-        settle();
+        dispatch_outputs();
     }
 }
 
@@ -156,7 +156,7 @@
         return malformed_response(request.error());
     }
     model_.cancel(request->attempt, scheduler_.now());
-    settle();
+    dispatch_outputs();
     return json_response(status_ok, "{}");
 }
 
@@ -167,7 +167,7 @@
     }
     const outcome<void> accepted =
         model_.order(call->order, call->token, call->expected_incarnation, scheduler_.now());
-    settle();
+    dispatch_outputs();
     return accepted.has_error() ? error_response(accepted.error()) : json_response(status_ok, "{}");
 }
 
@@ -196,7 +196,7 @@
     if (ticket.has_error()) {
         co_return error_response(ticket.error());
     }
-    settle();
+    dispatch_outputs();
     const base::incarnation process = model_.process();
     co_await scheduler_.sleep_until(ticket->ready_at);
     if (process != model_.process()) {
@@ -213,8 +213,8 @@
     message.target = protocol::export_path;
     message.body = protocol::encode(protocol::export_request{request.scope, request.pieces});
     const base::endpoint source = request.source.address;
-    const auto answer =
-        co_await peers_.send(source, std::move(message), state_fetch_limit, http::resend::allowed);
+    const auto answer = co_await peers_.send(source, std::move(message), state_fetch_timeout,
+                                             http::resend::allowed);
     if (answer.has_error()) {
         co_return refused_import("source: " + answer.error().message);
     }
@@ -257,17 +257,17 @@
         model_.freeze(now, *request.freeze);
     }
     model_.lose_events(request.event_gap.value_or(0));
-    settle();
+    dispatch_outputs();
 }
 
 void model_service::crash() {
     model_.crash(scheduler_.now());
-    settle();
+    dispatch_outputs();
 }
 
 void model_service::restart(base::incarnation process) {
     model_.restart(process, scheduler_.now());
-    settle();
+    dispatch_outputs();
 }
 
 }  // namespace ferryroad::emulator
--- a/emulator/engine/model_service.hpp
+++ b/emulator/engine/model_service.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// HTTP around the emulated model engine (docs/reference/engine-protocol.md).
+/// HTTP interface of the emulated model engine; docs/reference/engine-protocol.md describes it.
 #pragma once
 
 #include "emulator/engine/attempt_streams.hpp"
@@ -14,10 +14,12 @@
 
 namespace ferryroad::emulator {
 
-/// Passes real time to the model and its events to the connections that read them.
+/// Runs the model in real time and sends its events to the connections that read them. Used on the
+/// event loop's thread.
 class model_service final : public engine_service {
   public:
-    /// @param scheduler and `peers` (to fetch state from other engines) outlive this.
+    /// @param scheduler and @p peers must outlive this object.
+    /// @param peers fetches warm state from other engines.
     model_service(runtime::scheduler& scheduler, http::client& peers,
                   engine_model_settings settings, base::incarnation process);
 
@@ -31,10 +33,11 @@
     const std::vector<execution_record>& executions() const override { return model_.executions(); }
 
   private:
-    /// Runs the model whenever it has something due. Never ends by itself.
+    /// Advances the model whenever something is due. Runs until cancelled.
     runtime::task<void> run_model();
-    /// Hands out what the model has brought and has `run_model` look again.
-    void settle();
+    /// Sends the model's new events to their readers and wakes `run_model`. Called after each
+    /// change of the model.
+    void dispatch_outputs();
 
     runtime::task<void> stream(attempt_handle attempt, http::response_writer& writer);
     runtime::task<void> generate(std::string body, http::response_writer& writer);
--- a/emulator/engine/model_types.hpp
+++ b/emulator/engine/model_types.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What goes into the emulated model engine and what comes out, apart from any encoding.
+/// Inputs and outputs of the emulated model engine, independent of their encoding.
 #pragma once
 
 #include "ferryroad/base/strong_id.hpp"
@@ -19,7 +19,7 @@
 
 namespace ferryroad::emulator {
 
-/// Value or the engine's refusal; the refusal's `proves` is the truth about execution.
+/// A value or the engine's refusal, whose `proves` is correct about whether the attempt ran.
 template <typename T>
 using outcome = boost::system::result<T, engine::error>;
 
@@ -33,46 +33,49 @@
     std::uint32_t piece_bytes = core::prefix::default_piece_bytes;
     std::uint32_t capacity_pieces = 120;
     double prefill_tokens_per_second = 8500;
-    std::uint32_t prefill_chunk_tokens = 1024;                  ///< Prefilled in one step at most.
-    base::duration decode_step = std::chrono::milliseconds(8);  ///< Of any step.
+    std::uint32_t prefill_chunk_tokens = 1024;                  ///< Largest prefill in one step.
+    base::duration decode_step = std::chrono::milliseconds(8);  ///< Fixed part of each step.
     base::duration decode_sequence_cost = std::chrono::microseconds(200);
     std::uint32_t max_batch = 32;     ///< Sequences prefilling and decoding together.
-    std::uint32_t queue_limit = 256;  ///< Requests waiting for the batch.
-    std::uint32_t answer_tokens = 0;  ///< Answers stop here by themselves; 0: never.
+    std::uint32_t queue_limit = 256;  ///< Requests that may wait; further ones are refused.
+    std::uint32_t answer_tokens = 0;  ///< Answers end after this many tokens; 0: only at the limit.
     base::duration event_lag = std::chrono::milliseconds(200);
-    std::uint32_t event_loss_interval = 0;  ///< Every n-th cache event is lost; 0: none.
+    std::uint32_t event_loss_interval = 0;  ///< Every n-th cache event is lost; 0 loses none.
     base::duration load_lag = std::chrono::milliseconds(200);
     base::duration model_load = std::chrono::seconds(5);
     base::duration adapter_load = std::chrono::seconds(1);
-    base::duration transfer_per_piece = std::chrono::milliseconds(15);  ///< Import, each piece.
-    base::duration resume_window = std::chrono::seconds(10);  ///< Ended attempts are kept for it.
-    base::duration detached_limit = std::chrono::seconds(5);  ///< Then cancelled unless resumed.
+    base::duration transfer_per_piece = std::chrono::milliseconds(15);  ///< Time to import a piece.
+    base::duration resume_window =
+        std::chrono::seconds(10);  ///< Ended attempts are kept this long.
+    base::duration detached_limit =
+        std::chrono::seconds(5);  ///< Unread attempts are then cancelled.
 };
 
-/// Names an attempt within one engine and all its incarnations, cheaply.
+/// Compact id of an attempt, unique within one engine across its incarnations.
 using attempt_handle = base::strong_id<struct attempt_handle_tag, std::uint64_t>;
 
-/// What the engine needs to know of a prompt; computed once where one is sent many times.
+/// What the engine needs to know of a prompt. Callers that send a prompt repeatedly compute it
+/// once.
 struct prompt_summary {
     core::prefix::piece_chain pieces;
     std::uint32_t tokens = 0;
     std::string sha256;  ///< 64 hex digits; the first 8 begin each token of the answer.
 };
 
-/// @param piece_bytes of the engine that will get it.
+/// @param piece_bytes of the engine that will receive the prompt.
 prompt_summary summarize_prompt(const core::prefix::cache_namespace& scope, std::string_view prompt,
                                 std::size_t piece_bytes);
 
-/// @return token `index` of the answer to the prompt with that digest.
+/// @return token `index` of the answer to the prompt with this SHA-256 digest.
 std::string answer_token(std::string_view prompt_sha256, std::uint32_t index);
 
-/// The stream breaks off: nothing more comes of it.
+/// The stream ends with an error; no further event follows.
 struct stream_failure {
     engine::error_code code{};
     std::string message;
 };
 
-/// One event of one attempt. Events of one attempt come in order.
+/// One event of one attempt. Events of an attempt are in order.
 struct model_output {
     attempt_handle attempt;
     base::monotonic_time at{};
@@ -80,9 +83,10 @@
         event;
 };
 
+/// How far an execution has come, or how it ended.
 enum class execution_state { queued, running, complete, cancelled, failed };
 
-/// What the engine ran, for the auditor. Survives crashes.
+/// One attempt that the engine admitted, recorded for the audit. Kept across emulated crashes.
 struct execution_record {
     base::incarnation process;
     base::request_id request;
@@ -98,16 +102,16 @@
     std::string prompt_sha256;
 };
 
-/// Warm state on its way between engines.
+/// Warm state that is transferred between engines.
 struct exported_state {
     core::prefix::cache_namespace scope;
     base::incarnation process;
     core::prefix::piece_chain pieces;
     std::string payload;
-    std::string checksum;  ///< Of all the others but the incarnation.
+    std::string checksum;  ///< Of all other fields except `process`.
 };
 
-/// @return the SHA-256 of namespace, pieces and payload, each with its length.
+/// @return the SHA-256 of the length-prefixed namespace, pieces and payload.
 std::string state_checksum(const exported_state& state);
 
 /// An accepted import: `pieces` become usable at `ready_at`.
--- a/emulator/engine/notifier.hpp
+++ b/emulator/engine/notifier.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Wakes coroutines of the event loop that wait for a change.
+/// Wakes coroutines of one event loop that wait for a change.
 #pragma once
 
 #include "ferryroad/base/time.hpp"
@@ -13,18 +13,20 @@
 
 namespace ferryroad::emulator {
 
-/// @return the same time on the clock of Asio's timers.
+/// Converts a time to the clock of Asio's timers.
 inline boost::asio::steady_timer::time_point timer_time(base::monotonic_time when) {
     return boost::asio::steady_timer::time_point(
         std::chrono::duration_cast<std::chrono::steady_clock::duration>(when.time_since_epoch()));
 }
 
-/// Has no memory: check the condition, then wait, without a suspension in between.
+/// A notification wakes only the coroutines that already wait, so check the condition and wait
+/// without a suspension in between. Used on the event loop's thread.
 class notifier {
   public:
     explicit notifier(const boost::asio::any_io_executor& executor) : timer_(executor) {}
 
-    /// Returns at the next `notify` or at `limit`. Cancellation throws as Asio's waits do.
+    /// Returns at the next `notify` or at `limit`.
+    /// @throws boost::system::system_error (operation_aborted) if the coroutine is cancelled.
     runtime::task<void> wait_until(boost::asio::steady_timer::time_point limit) {
         timer_.expires_at(limit);
         boost::system::error_code ended;
@@ -34,7 +36,9 @@
             throw boost::system::system_error(boost::asio::error::operation_aborted);
         }
     }
+    /// Returns at the next `notify`; throws like `wait_until`.
     runtime::task<void> wait() { return wait_until(boost::asio::steady_timer::time_point::max()); }
+    /// Wakes all waiting coroutines.
     void notify() { timer_.cancel(); }
 
   private:
--- a/emulator/engine/prefix_cache.cpp
+++ b/emulator/engine/prefix_cache.cpp
@@ -77,10 +77,11 @@
 void prefix_cache::unpin(const cache_namespace& scope, const piece_chain& chain,
                          std::uint32_t count) {
     const scope_number number = scope_of(scope);
-    for (std::uint32_t depth = count; depth-- > 0;) {  // the root last: most recently used
+    // The root comes last, so that it is the most recently used.
+    for (std::uint32_t depth = count; depth-- > 0;) {
         const auto found = entries_.find({number, chain[depth]});
         if (found == entries_.end()) {
-            continue;  // cleared in the meantime
+            continue;  // Dropped by `clear` since it was pinned.
         }
         const auto position = found->second;
         if (--position->pins == 0) {
--- a/emulator/engine/prefix_cache.hpp
+++ b/emulator/engine/prefix_cache.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The emulated engine's prefix cache: pieces in limited memory, least recently used first
-/// out. Pure: no clock, no I/O.
+/// The emulated engine's prefix cache: a bounded number of pieces, evicted least recently used
+/// first. Performs no I/O and reads no clock.
 #pragma once
 
 #include "ferryroad/core/prefix/cache_namespace.hpp"
@@ -14,7 +14,7 @@
 
 namespace ferryroad::emulator {
 
-/// A piece that entered or left the cache, not yet numbered as an event.
+/// A piece that was stored or evicted; not yet numbered as an event.
 struct cache_update {
     engine::cache_change change{};
     core::prefix::cache_namespace scope;
@@ -23,32 +23,33 @@
     std::uint32_t depth = 0;
 };
 
-/// Chains of pieces by namespace. What it holds of a chain is always a run from the root:
-/// a piece is stored only after the one before it and evicted only before it. Pieces in use
-/// are pinned and stay.
+/// Chains of pieces by namespace. The cached pieces of a chain always form a prefix of it: a piece
+/// is stored after its predecessor and evicted before it. Pieces in use are pinned and are not
+/// evicted. Not thread-safe.
 class prefix_cache {
   public:
-    /// @param capacity pieces held at most.
+    /// @param capacity largest number of pieces.
     explicit prefix_cache(std::uint32_t capacity);
 
-    /// @return how many leading pieces of `chain` are held.
+    /// @return the number of leading pieces of `chain` that are cached.
     std::uint32_t match(const core::prefix::cache_namespace& scope,
                         const core::prefix::piece_chain& chain) const;
 
-    /// Pins the leading pieces held. @return how many.
+    /// Pins the leading pieces that are cached. @return their number.
     std::uint32_t pin(const core::prefix::cache_namespace& scope,
                       const core::prefix::piece_chain& chain);
 
-    /// Stores and pins the piece at `depth`, whose predecessors the caller has pinned;
-    /// evicts where full. @return false where every piece is pinned: nothing was stored.
+    /// Stores and pins the piece at `depth`; the caller must have pinned its predecessors. Evicts
+    /// a piece if the cache is full.
+    /// @return false if nothing was stored because every piece is pinned.
     bool append(const core::prefix::cache_namespace& scope, const core::prefix::piece_chain& chain,
                 std::uint32_t depth);
 
-    /// Ends one use of the first `count` pieces, which become the most recently used.
+    /// Releases one pin of each of the first `count` pieces and makes them the most recently used.
     void unpin(const core::prefix::cache_namespace& scope, const core::prefix::piece_chain& chain,
                std::uint32_t count);
 
-    /// Drops everything, pinned or not.
+    /// Drops all pieces, pinned ones too.
     void clear();
 
     std::uint32_t size() const { return static_cast<std::uint32_t>(entries_.size()); }
@@ -58,7 +59,7 @@
     std::vector<cache_update> take_updates();
 
   private:
-    /// Namespaces are numbered by exact comparison, so that keys compare cheaply and exactly.
+    /// Each distinct namespace gets a number, so that keys compare fast without hash collisions.
     using scope_number = std::uint32_t;
 
     struct entry_key {
@@ -77,8 +78,9 @@
     };
     using entry_list = std::list<entry>;
 
-    /// @return the number of a namespace met before, or none.
+    /// @return the namespace's number, or null if it has none.
     const scope_number* find_scope(const core::prefix::cache_namespace& scope) const;
+    /// @return the namespace's number, assigned if it has none.
     scope_number scope_of(const core::prefix::cache_namespace& scope);
     void pin_entry(entry_list::iterator position);
     void evict_oldest();
--- a/emulator/engine/state_codec.hpp
+++ b/emulator/engine/state_codec.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Exported state as JSON, between two emulated engines.
+/// JSON encoding of the warm state that emulated engines exchange.
 #pragma once
 
 #include "emulator/engine/model_types.hpp"
@@ -11,6 +11,7 @@
 namespace ferryroad::emulator {
 
 std::string encode(const exported_state& state);
+/// @return the state, or why `body` is invalid.
 engine::protocol::decoded<exported_state> decode_state(std::string_view body);
 
 }  // namespace ferryroad::emulator
--- a/emulator/engine/stream_writer.cpp
+++ b/emulator/engine/stream_writer.cpp
@@ -74,7 +74,8 @@
         const bool is_start = std::holds_alternative<engine::stream_started>(output.event);
         const std::string line = line_of(output);
         if (!is_start && faults_.cuts_after(tokens_written_)) {
-            ready.lines += line.substr(0, line.size() / 2);  // half a line goes out
+            ready.lines +=
+                line.substr(0, line.size() / 2);  // A cut ends the stream in the middle of a line.
             ready.cut = true;
             return ready;
         }
--- a/emulator/engine/stream_writer.hpp
+++ b/emulator/engine/stream_writer.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Writes one attempt's events as the lines of a streamed answer.
+/// Writes the events of one attempt as the lines of a streamed answer.
 #pragma once
 
 #include "emulator/engine/attempt_streams.hpp"
@@ -11,26 +11,26 @@
 
 namespace ferryroad::emulator {
 
-/// How the writing of a stream ended.
+/// Why the writing of a stream ended.
 enum class stream_ending {
     whole,     ///< The `end` line was written.
-    replaced,  ///< Another connection reads the attempt now.
-    cut,       ///< By a fault.
-    closed     ///< The other side is gone.
+    replaced,  ///< Another connection has taken over the attempt.
+    cut,       ///< A fault cut the stream.
+    closed     ///< The peer has closed the connection.
 };
 
 /// One streamed answer on one connection.
 class stream_writer {
   public:
-    /// @param faults are looked at before each line. Both outlive the writer.
+    /// @param faults are checked before each line; they and @p connection must outlive the writer.
     stream_writer(base::attempt_id attempt, std::shared_ptr<attempt_reader> reader,
                   const connection_faults& faults, http::response_writer& connection);
 
-    /// Writes until the stream's end or until the connection can't go on.
+    /// Writes until the stream ends, is cut or replaced, or the connection fails.
     runtime::task<stream_ending> run();
 
   private:
-    /// Lines that are ready to go out together.
+    /// Lines that are sent in one write.
     struct batch {
         std::string lines;
         bool ended = false;
