--- a/scripts/port_chooser.py
+++ b/scripts/port_chooser.py
@@ -1,8 +1,8 @@
-"""Ports of loopback for systems that tests and demonstrations start.
+"""Chooses loopback ports for systems that tests and demonstrations start.
 
-A port that is found free is free for the moment only: its process listens there some time later,
-and is down for a while between two starts. So each port that is given out is locked for as long as
-its chooser lives, and no other chooser on the machine gives it.
+A port that is free now may be taken before its process listens on it, or while the process
+restarts. So each port is locked for as long as its chooser exists, and no other chooser on the
+machine hands it out.
 """
 
 import fcntl
@@ -13,19 +13,19 @@
 import tempfile
 
 ADDRESS = "127.0.0.1"
-# Below the range that the system gives to outgoing connections, so that none takes one.
+# Below the kernel's range for outgoing connections, so that none of them takes such a port.
 PORTS = range(12000, 31000)
 LOCKS = pathlib.Path(tempfile.gettempdir()) / "ferryroad-ports"
-TIME_WAIT = "06"  # In /proc/net/tcp: it keeps nobody from listening.
+TIME_WAIT = "06"  # State in /proc/net/tcp; it doesn't prevent listening.
 KINDS = (("tcp", socket.SOCK_STREAM), ("udp", socket.SOCK_DGRAM))
 
 
 class NoFreePort(Exception):
-    """All ports of the range are taken."""
+    """All ports of the range are in use."""
 
 
 def is_free(port):
-    """Whether nobody listens there now, by TCP or UDP."""
+    """Returns whether the port can be bound now, by TCP and by UDP."""
     for _, kind in KINDS:
         with socket.socket(socket.AF_INET, kind) as probe:
             try:
@@ -36,7 +36,7 @@
 
 
 class PortChooser:
-    """Gives each port once. The locks go with `close`, or with the process."""
+    """Hands out each port once. `close` or the end of the process releases the locks."""
 
     def __init__(self, ports=PORTS, locks=LOCKS):
         self.untried = list(ports)
@@ -45,11 +45,11 @@
         locks.mkdir(exist_ok=True)
 
     def reserve(self, count):
-        """Locks so many ports now, for the next calls."""
+        """Locks `count` ports now, which the next calls of `port` return."""
         self.reserved += [self._draw() for _ in range(count)]
 
     def port(self):
-        """A port that nobody listens at, by TCP or UDP, and that no other chooser holds."""
+        """Returns a locked port that was free by TCP and UDP and that no other chooser holds."""
         return self.reserved.pop() if self.reserved else self._draw()
 
     def _draw(self):
@@ -79,19 +79,19 @@
 
 
 def holders(port):
-    """Who has a socket at the port now: a line each, for the report of a start that failed."""
+    """Returns one line per socket that uses the port now, to report why a start failed."""
     found = []
     for name, _ in KINDS:
         for line in pathlib.Path(f"/proc/net/{name}").read_text(encoding="ascii").splitlines()[1:]:
             fields = line.split()
-            at, waits_out = int(fields[1].rpartition(":")[2], 16), fields[3] == TIME_WAIT
-            if at == port and not waits_out:
+            local_port, in_time_wait = int(fields[1].rpartition(":")[2], 16), fields[3] == TIME_WAIT
+            if local_port == port and not in_time_wait:
                 found.append(f"{name} {port} state {fields[3]}: {_owner(fields[9])}")
     return found
 
 
 def _owner(inode):
-    """The process that has the socket open, as far as it may be seen."""
+    """Describes the process that has the socket open, if /proc shows it to this user."""
     for link in pathlib.Path("/proc").glob("[0-9]*/fd/*"):
         try:
             if os.readlink(link) == f"socket:[{inode}]":
--- a/test/system/apply_race_test.py
+++ b/test/system/apply_race_test.py
@@ -1,4 +1,4 @@
-"""Operators race each other: one change wins each revision, and none is lost or undone."""
+"""Concurrent applies by several operators: each revision has one winner; no change is lost."""
 
 import json
 import subprocess
@@ -19,7 +19,7 @@
         self.desired = json.loads(source.read_text(encoding="utf-8"))
 
     def write_state(self, deadline_ms):
-        """A desired state that differs by one route's deadline."""
+        """Writes the desired state with one route's deadline changed. Returns the file."""
         state = json.loads(json.dumps(self.desired))
         state["routes"][0]["deadline_ms"] = deadline_ms
         file = self.system.directory / f"state-{deadline_ms}.json"
--- a/test/system/freeze_test.py
+++ b/test/system/freeze_test.py
@@ -1,4 +1,7 @@
-"""SIGSTOP, then SIGCONT once the others have given the process up: it may do no harm."""
+"""Processes stopped by SIGSTOP until their peers consider them dead, then continued by SIGCONT.
+
+After the SIGCONT the process must neither cut a request nor return a wrong answer.
+"""
 
 import unittest
 
--- a/test/system/harness.py
+++ b/test/system/harness.py
@@ -1,7 +1,8 @@
-"""A running system for process-level tests: starts it by scripts/stack, loads it by
-`ferrybench load`, brings faults about and has `ferrybench audit` judge the run.
+"""A running system for process-level tests.
 
-Waits are on conditions; a limit only ends a test that would otherwise hang.
+Starts the system with scripts/stack, sends load with `ferrybench load`, injects faults and checks
+the run with `ferrybench audit`. Tests wait for conditions; the timeout only ends a test that would
+otherwise hang.
 """
 
 import collections
@@ -35,16 +36,16 @@
         if value:
             return value
         if time.monotonic() > end:
-            raise AssertionError(f"did not come about in {limit} s: {what}")
+            raise AssertionError(f"timed out after {limit} s waiting until {what}")
         time.sleep(POLL_SECONDS)
 
 
 def exchange(url, value=None, limit=10):
-    """GET, or POST of a JSON value. Returns (status, body), or (None, "") without an answer."""
+    """Sends a GET, or a POST of a JSON value. Returns (status, body), or (None, "") on no answer."""
     body = None if value is None else json.dumps(value).encode()
-    asked = urllib.request.Request(url, data=body, headers={"Content-Type": "application/json"})
+    request = urllib.request.Request(url, data=body, headers={"Content-Type": "application/json"})
     try:
-        with urllib.request.urlopen(asked, timeout=limit) as answer:
+        with urllib.request.urlopen(request, timeout=limit) as answer:
             return answer.status, answer.read().decode()
     except urllib.error.HTTPError as error:
         return error.code, error.read().decode()
@@ -69,15 +70,15 @@
                                             stdin=subprocess.DEVNULL)
 
     def ended(self):
-        """Requests that have ended so far."""
+        """Returns the number of requests that have ended so far."""
         found = PROGRESS.findall(self.progress.read_text(errors="replace"))
         return int(found[-1]) if found else 0
 
     def wait_ended(self, count):
-        """Waits until so many requests have ended; the run must still go on."""
+        """Waits until `count` requests have ended. Fails if the run ends before that."""
         def reached():
             if self.process.poll() is not None:
-                raise AssertionError(f"load {self.name} ended before {count} requests had")
+                raise AssertionError(f"load {self.name} ended before {count} requests had ended")
             return self.ended() >= count
         wait_until(reached, f"{count} requests of load {self.name} ended")
 
@@ -94,7 +95,7 @@
 
 
 class System:
-    """The processes of one stack, by name."""
+    """The running processes of one system, by name."""
 
     def __init__(self, directory, options):
         self.directory = pathlib.Path(directory)
@@ -139,7 +140,7 @@
         wait_until(lambda: not self.alive(name), f"{name} ends")
 
     def kill(self, name):
-        """SIGKILL. An engine's list of executions goes with it."""
+        """Kills the process with SIGKILL. An engine loses its list of executions."""
         self.signal(name, signal.SIGKILL)
         self.wait_dead(name)
         self.counts["kills"] += 1
@@ -154,13 +155,13 @@
         self.signal(name, signal.SIGCONT)
 
     def stop(self, name):
-        """Planned stop: returns once the process has ended by itself."""
+        """Stops the process gracefully with SIGTERM. Returns once it has ended."""
         self.signal(name, signal.SIGTERM)
         self.wait_dead(name)
         self.counts["planned stops"] += 1
 
     def respawn(self, name):
-        """Starts the process again with its old settings: another process, nothing kept."""
+        """Starts a new process with the same settings; it has no state of the earlier one."""
         entry = self.processes[name]
         with open(entry["log"], "ab") as log:
             self.children[name] = subprocess.Popen(
@@ -171,14 +172,14 @@
         (self.directory / "processes.json").write_text(json.dumps(entries), encoding="utf-8")
         self.counts["restarts"] += 1
 
-    # Faults within emulators
+    # Faults of the emulators
 
     def fault(self, name, value):
         status, body = exchange(f"http://{self.processes[name]['http']}/emulator/faults", value)
         if status != 200:
             raise AssertionError(f"fault {value} on {name}: {status} {body}")
 
-    # What the system says
+    # State of the system
 
     def ready(self, router):
         return exchange(f"http://{self.processes[router]['http']}/readyz")[0] == 200
@@ -196,12 +197,12 @@
         return done.returncode, done.stdout, done.stderr
 
     def status(self, router):
-        """The router's view, or None where it gives none."""
+        """Returns the router's view, or None if `ferryctl status` fails."""
         code, output, _ = self.ferryctl(router, "status")
         return json.loads(output) if code == 0 else None
 
     def states(self, router):
-        """Name to state of the routers and engines, as one router sees them."""
+        """Returns the states of routers and engines by name, as seen by one router."""
         status = self.status(router)
         if status is None:
             return {}
@@ -219,10 +220,10 @@
     def executions(self, engine):
         status, body = exchange(f"http://{self.processes[engine]['http']}/emulator/executions")
         if status != 200:
-            raise AssertionError(f"{engine} gives no list of executions")
+            raise AssertionError(f"{engine}: reading the executions failed with status {status}")
         return json.loads(body)["executions"]
 
-    # Load and verdict
+    # Load and audit
 
     def load(self, name, workload, *options):
         self.loads.append(Load(self, name, workload, options))
@@ -232,7 +233,7 @@
         return self.load(name, workload, *options).wait()
 
     def audit(self):
-        """Judges all runs together. Returns the verdict."""
+        """Audits all runs together. Returns the result of `ferrybench audit`."""
         command = [self.program("ferrybench"), "audit", "--endpoints", self.endpoints_file,
                    "--output", "json", "--records", *(load.records for load in self.loads)]
         if self.executions_lost:
@@ -257,7 +258,7 @@
 
 
 class Scenario(unittest.TestCase):
-    """One test on a system of its own. Ends with the auditor's verdict."""
+    """Base class of tests that each run on a system of their own."""
 
     stack_options = ()
 
@@ -292,7 +293,7 @@
         return verdict
 
     def assert_whole(self, figures, refusals=()):
-        """No request was cut, failed or answered wrongly; only the named refusals came."""
+        """Checks that no request was cut, failed or wrong, and that refusals are only as named."""
         seen = {name: figures[name] for name in ("cut", "failed", "wrong")}
         self.assertEqual(seen, {"cut": 0, "failed": 0, "wrong": 0}, figures["refused_by_code"])
         self.assertLessEqual(set(figures["refused_by_code"]), set(refusals))
--- a/test/system/herd_restart_test.py
+++ b/test/system/herd_restart_test.py
@@ -1,4 +1,4 @@
-"""All routers killed at once and started again empty, with the platform up, slow and down."""
+"""All routers killed at once and restarted without state, with the platform up, slow and down."""
 
 import unittest
 
@@ -49,7 +49,7 @@
             harness.wait_until(
                 lambda at=address: harness.exchange(f"http://{at}/healthz")[0] == 200,
                 f"{router} answers")
-            # Nobody left who knows the configuration: unready, and says so at once.
+            # No process holds the configuration, so the router must report that it isn't ready.
             self.assertFalse(self.system.ready(router))
         self.system.fault("platform", {"clear": True})
         self.assert_serves(revision)
@@ -60,7 +60,7 @@
         self.system.counts["outages"] += 1
         self.system.kill("router-1")
         self.system.respawn("router-1")
-        self.system.wait_ready("router-1")  # From its peers.
+        self.system.wait_ready("router-1")  # It gets the configuration from its peers.
         self.assertEqual(self.system.revision("router-1"), revision)
         self.system.fault("platform", {"clear": True})
         self.assert_serves(revision)
--- a/test/system/kill_test.py
+++ b/test/system/kill_test.py
@@ -1,4 +1,4 @@
-"""SIGKILL of routers and engines under load."""
+"""Routers and engines killed by SIGKILL under load."""
 
 import unittest
 
@@ -17,7 +17,7 @@
         self.system.respawn("router-2")
         self.system.wait_ready("router-2")
         figures = load.wait()
-        # Only what the killed router had at work may be cut.
+        # Only requests that the killed router was serving may be cut.
         self.assertLessEqual(figures["cut"], 16)
         for call in load.calls():
             if call["outcome"] == "cut":
@@ -35,7 +35,7 @@
         load.wait_ended(150)
         self.system.respawn("engine-1")
         figures = load.wait()
-        # Streams that broke are continued on other engines.
+        # Broken streams must be continued on other engines.
         self.assert_whole(figures)
         self.system.wait_state("router-1", "engine-1", "alive")
         after = self.system.run_load("after", "streams.json", "--requests", "60")
--- a/test/system/planned_stop_test.py
+++ b/test/system/planned_stop_test.py
@@ -1,4 +1,4 @@
-"""Planned stops under load: routers one after another, then engines. No request is cut."""
+"""Graceful stops of routers and engines, one at a time under load, must cut no request."""
 
 import pathlib
 import signal
@@ -33,7 +33,7 @@
         self.assert_no_violation()
 
     def test_a_reload_signal_ends_no_router(self):
-        """It has nothing to reload, and says so; a planned stop beside it ends with code 0."""
+        """SIGHUP is only logged, and a graceful stop during further SIGHUPs exits with code 0."""
         router = self.system.routers[0]
         log = pathlib.Path(self.system.processes[router]["log"])
         self.system.stop(router)
@@ -41,7 +41,7 @@
         self.system.wait_ready(router)
         self.system.signal(router, signal.SIGHUP)
         harness.wait_until(lambda: "reload signal changes nothing" in log.read_text(errors="replace"),
-                           f"{router} answers the signal")
+                           f"{router} logs the signal")
         self.system.signal(router, signal.SIGTERM)
         while self.system.alive(router):
             self.system.signal(router, signal.SIGHUP)
--- a/test/system/platform_test.py
+++ b/test/system/platform_test.py
@@ -1,4 +1,4 @@
-"""The platform's table down, slow, or losing answers after the change took effect."""
+"""The platform's table is down, slow, or loses answers of transactions that took effect."""
 
 import unittest
 
--- a/test/system/thin_path_test.py
+++ b/test/system/thin_path_test.py
@@ -1,4 +1,4 @@
-"""The whole path: streamed requests through all routers, each answer exact, none doubled."""
+"""Requests through all routers to the engines: every answer is correct and none runs twice."""
 
 import collections
 import unittest
