--- a/test/emulator/engine/engine_model_property_test.cpp
+++ b/test/emulator/engine/engine_model_property_test.cpp
@@ -1,5 +1,5 @@
-/// The emulated engine under random calls: every admitted attempt brings its tokens once and in
-/// order, ends at most once, and nothing runs that was refused.
+/// The emulated engine under random calls: every admitted attempt sends each token once and in
+/// order and ends at most once, and no refused attempt runs.
 #include "emulator/engine/engine_model.hpp"
 #include "test/emulator/engine/model_fixture.hpp"
 
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// What is known of one admitted attempt.
+/// The expected state of an admitted attempt.
 struct expectation {
     std::string digest;
     std::uint32_t next_token = 0;
@@ -80,7 +80,7 @@
             return;
         }
         RC_ASSERT(request.expected_incarnation.value == process_);
-        RC_ASSERT(known_.insert(request.attempt).second);  // never runs an attempt twice
+        RC_ASSERT(admitted_.insert(request.attempt).second);  // No attempt runs twice.
         const std::string digest = model_.execution(*answer).prompt_sha256;
         const bool fresh = expected_.try_emplace(*answer, digest, 0U, request.max_tokens).second;
         RC_ASSERT(fresh);
@@ -101,7 +101,7 @@
         RC_ASSERT(model_.submit(request_of("x", "p"), now_).error().proves ==
                   engine::proof::not_sent);
         ++process_;
-        known_.clear();
+        admitted_.clear();
         model_.restart(base::incarnation(process_), now_);
     }
 
@@ -125,14 +125,14 @@
     engine_model model_{small_engine(), base::incarnation(1)};
     base::monotonic_time now_{};
     std::uint64_t process_ = 1;
-    std::set<base::attempt_id> known_;  ///< Of this process.
+    std::set<base::attempt_id> admitted_;  ///< Attempts that the current process has admitted.
     std::map<attempt_handle, expectation> expected_;
 };
 
 }  // namespace
 
 Test(engine_model, random_calls) {
-    cr_assert(rc::check("streams are whole, in order, once", [] {
+    cr_assert(rc::check("streams are complete, in order and without repetition", [] {
         random_run run;
         const int steps = *rc::gen::inRange(1, 80);
         for (int step = 0; step < steps; ++step) {
--- a/test/emulator/engine/engine_model_test.cpp
+++ b/test/emulator/engine/engine_model_test.cpp
@@ -1,4 +1,4 @@
-/// The emulated engine's behaviour, fault by fault.
+/// Tests of the emulated engine: refusals, streams, events, orders, warm state and faults.
 #include "emulator/engine/engine_model.hpp"
 
 #include "ferryroad/base/digest.hpp"
@@ -33,7 +33,7 @@
         {"other incarnation",
          [](model&, request& sent) { sent.expected_incarnation = base::incarnation(2); },
          error_code::refused_incarnation, proof::not_run},
-        {"incarnation not known",
+        {"no incarnation given",
          [](model&, request& sent) { sent.expected_incarnation = base::incarnation(0); },
          error_code::refused_incarnation, proof::not_run},
         {"older weights",
@@ -46,11 +46,12 @@
          error_code::refused_version, proof::not_run},
         {"leaving", [](model& engine, request&) { engine.set_leaving(true); },
          error_code::refused_leaving, proof::not_run},
-        {"told to refuse", [](model& engine, request&) { engine.set_refuse_overloaded(true); },
+        {"set to refuse as overloaded",
+         [](model& engine, request&) { engine.set_refuse_overloaded(true); },
          error_code::refused_overloaded, proof::not_run},
         {"queue full",
          [](model& engine, request&) {
-             for (const char* id : {"a1", "a2", "a3"})  // one starts, two wait
+             for (const char* id : {"a1", "a2", "a3"})  // One starts, two wait.
              {
                  cr_assert(engine.submit(request_of(id, prompt_of('x', 2)), at(0ms)).has_value());
              }
@@ -60,10 +61,10 @@
          error_code::refused_bad_request, proof::not_run},
         {"first token past the end", [](model&, request& sent) { sent.first_token = 4; },
          error_code::refused_bad_request, proof::not_run},
-        {"attempt known already",
+        {"attempt already admitted",
          [](model& engine, request& sent) { cr_assert(engine.submit(sent, at(0ms)).has_value()); },
          error_code::refused_bad_request, proof::unknown},
-        {"attempt known and cancelled",
+        {"attempt admitted and cancelled",
          [](model& engine, request& sent) {
              cr_assert(engine.submit(sent, at(0ms)).has_value());
              engine.cancel(sent.attempt, at(0ms));
@@ -108,33 +109,35 @@
     cr_assert(answer.has_error(), "%s", row.name);
     cr_assert(answer.error().code == row.code, "%s: %s", row.name, answer.error().message.c_str());
     cr_assert(answer.error().proves == row.proves, "%s", row.name);
-    cr_assert_eq(model.executions().size(), before, "%s: a refusal runs nothing", row.name);
+    cr_assert_eq(model.executions().size(), before, "%s: a refused attempt left an execution",
+                 row.name);
 }
 
-Test(engine_model, answers_by_the_formula_and_in_time) {
+Test(engine_model, answers_have_the_expected_tokens_and_times) {
     engine_model model = small_model();
-    const std::string prompt = prompt_of('p', 4);  // 16 tokens: two chunks of 8 ms + 10 ms
+    const std::string prompt = prompt_of('p', 4);  // 16 tokens: two steps of 8 ms prefill + 10 ms.
     const attempt_handle attempt = *model.submit(request_of("a", prompt), at(0ms));
-    cr_assert(model.advance(at(35ms)).size() == 1U, "only `started` before prefill is done");
-    const transcript heard = transcript_of(model.advance(at(1s)), attempt);
+    cr_assert(model.advance(at(35ms)).size() == 1U,
+              "only `started` is sent before the prefill is done");
+    const transcript received = transcript_of(model.advance(at(1s)), attempt);
     const std::string digest = base::sha256_hex(prompt).substr(0, 8);
     const std::string expected = digest + ".0 " + digest + ".1 " + digest + ".2 ";
-    cr_assert(heard.text == expected, "%s", heard.text.c_str());
-    cr_assert_eq((heard.first_token_at - at(0ms)).count(), base::duration(36ms).count());
-    cr_assert(heard.ended && heard.ended->reason == engine::finish_reason::length);
-    cr_assert_eq(heard.ended->tokens, 3U);
+    cr_assert(received.text == expected, "%s", received.text.c_str());
+    cr_assert_eq((received.first_token_at - at(0ms)).count(), base::duration(36ms).count());
+    cr_assert(received.ended && received.ended->reason == engine::finish_reason::length);
+    cr_assert_eq(received.ended->tokens, 3U);
     cr_assert(model.execution(attempt).state == execution_state::complete);
     cr_assert(!model.next_wakeup());
 }
 
-Test(engine_model, second_prompt_finds_the_shared_prefix) {
+Test(engine_model, second_prompt_reuses_the_shared_prefix) {
     engine_model model = small_model();
     model.submit(request_of("a", prompt_of('p', 3)), at(0ms)).has_value();
     model.advance(at(1s));
     const attempt_handle second = *model.submit(request_of("b", prompt_of('p', 5)), at(1s));
-    const transcript heard = transcript_of(model.advance(at(2s)), second);
-    cr_assert_eq(heard.started->cached_pieces, 3U);
-    cr_assert_eq(heard.started->total_pieces, 5U);
+    const transcript received = transcript_of(model.advance(at(2s)), second);
+    cr_assert_eq(received.started->cached_pieces, 3U);
+    cr_assert_eq(received.started->total_pieces, 5U);
     engine::generation_request foreign = request_of("c", prompt_of('p', 5));
     foreign.scope.tenant = base::tenant_name("other");
     const attempt_handle third = *model.submit(foreign, at(2s));
@@ -162,7 +165,7 @@
     const transcript again = transcript_of(model.advance(at(1s)), whole);
     cr_assert(again.indexes == std::vector<std::uint32_t>({1, 2, 3, 4, 5}));
     cr_assert(again.started && again.ended && again.ended->tokens == 6U);
-    cr_assert_eq(model.execution(whole).tokens, 6U, "a resume generates nothing twice");
+    cr_assert_eq(model.execution(whole).tokens, 6U, "a resume generates no token again");
 
     auto continued = request_of("b", prompt, 6);
     continued.first_token = 4;
@@ -189,11 +192,11 @@
     cr_assert(model.execution(kept).state == execution_state::complete);
 }
 
-Test(engine_model, events_come_late_with_gaps_and_by_incarnation) {
+Test(engine_model, events_are_delayed_with_gaps_and_per_incarnation) {
     engine_model model = small_model();
     model.submit(request_of("a", prompt_of('p', 4), 1), at(0ms)).has_value();
     model.lose_events(1);
-    model.advance(at(100ms));  // pieces stored at 18 ms (two) and 36 ms (two)
+    model.advance(at(100ms));  // Two pieces are stored at 18 ms and two at 36 ms.
     cr_assert(model.events_since(base::incarnation(1), 1, at(217ms)).events.empty());
     const auto partial = model.events_since(base::incarnation(1), 1, at(220ms));
     cr_assert(partial.gap && partial.events.size() == 1U && partial.events[0].sequence == 2U);
@@ -227,7 +230,8 @@
     const auto other = model.order(newer, base::fencing_token(9), base::incarnation(2), at(2ms));
     cr_assert(other.error().code == error_code::refused_incarnation);
     model.advance(at(1s));
-    cr_assert(model.execution(running).state == execution_state::complete, "a load cuts nothing");
+    cr_assert(model.execution(running).state == execution_state::complete,
+              "a model load interrupts no attempt");
     cr_assert(model.load(at(4s)).version == base::weights_version("v1"));
     cr_assert(model.load(at(6s)).version == base::weights_version("v2"));
     auto request = request_of("b", prompt_of('p', 2));
@@ -237,7 +241,7 @@
     cr_assert_eq(transcript_of(model.advance(at(7s)), renewed).started->cached_pieces, 0U);
 }
 
-Test(engine_model, warm_state_moves_only_with_the_right_papers) {
+Test(engine_model, import_refuses_invalid_state) {
     engine_model source = small_model();
     source.submit(request_of("a", prompt_of('p', 3), 1), at(0ms)).has_value();
     source.advance(at(1s));
@@ -268,7 +272,7 @@
     cr_assert_eq(target.export_state(scope, request.pieces, at(1045ms))->pieces.size(), 3U);
 }
 
-Test(engine_model, a_crash_empties_all_but_the_executions) {
+Test(engine_model, a_crash_keeps_only_the_executions) {
     engine_model model = small_model();
     const attempt_handle cut = *model.submit(request_of("a", prompt_of('p', 2), 9), at(0ms));
     model.advance(at(50ms));
@@ -285,7 +289,7 @@
     cr_assert_eq(model.executions().size(), 2U);
 }
 
-Test(engine_model, slow_and_frozen_engines_only_take_longer) {
+Test(engine_model, slow_and_frozen_engines_give_the_same_answers_later) {
     for (const bool frozen : {false, true}) {
         engine_model model = small_model();
         if (frozen) {
@@ -294,9 +298,9 @@
             model.set_slow_factor(10);
         }
         const attempt_handle attempt = *model.submit(request_of("a", prompt_of('p', 2)), at(0ms));
-        const transcript heard = transcript_of(model.advance(at(10s)), attempt);
+        const transcript received = transcript_of(model.advance(at(10s)), attempt);
         const base::duration expected = frozen ? 518ms : 180ms;
-        cr_assert_eq((heard.first_token_at - at(0ms)).count(), expected.count());
-        cr_assert_eq(heard.ended->tokens, 3U);
+        cr_assert_eq((received.first_token_at - at(0ms)).count(), expected.count());
+        cr_assert_eq(received.ended->tokens, 3U);
     }
 }
--- a/test/emulator/engine/machine_registration_test.cpp
+++ b/test/emulator/engine/machine_registration_test.cpp
@@ -1,4 +1,4 @@
-/// An engine puts itself on the machine list, again where that fails, and marks itself leaving.
+/// An engine registers in the machine list, retries failed calls, and marks itself as leaving.
 #include "emulator/engine/machine_registration.hpp"
 
 #include "test/http/loopback.hpp"
@@ -9,10 +9,10 @@
 
 namespace {
 
-/// What a platform heard; it refuses the first `refusals` requests.
+/// Records the requests that it accepts, after refusing the first `refusals` ones.
 struct fake_platform {
     int refusals = 0;
-    std::vector<std::string> heard;
+    std::vector<std::string> accepted;
 
     runtime::task<void> answer(http::request request, http::response_writer& writer) {
         http::response reply;
@@ -20,7 +20,7 @@
             --refusals;
             reply.status = 503;
         } else {
-            heard.push_back(request.method + " " + request.target + " " + request.body);
+            accepted.push_back(request.method + " " + request.target + " " + request.body);
         }
         [[maybe_unused]] const auto sent = co_await writer.send(std::move(reply));
     }
@@ -44,14 +44,14 @@
     emulator::machine_registration registration(loop.scheduler, connections,
                                                 server.listen(test::any_port), engine_machine());
     loop.scheduler.spawn("keep", registration.keep());
-    co_await loop.until([&] { return !platform.heard.empty(); });
+    co_await loop.until([&] { return !platform.accepted.empty(); });
     platform.refusals = 1;
     co_await registration.mark_leaving();
 }
 
 }  // namespace
 
-Test(machine_registration, keeps_trying_and_marks_leaving) {
+Test(machine_registration, retries_and_marks_leaving) {
     test::loopback loop;
     fake_platform platform;
     platform.refusals = 2;
@@ -59,7 +59,7 @@
     const std::string put =
         R"(PUT /emulator/machines/e1 {"name":"e1","kind":"engine","address":"127.0.0.1:9",)"
         R"("zone":"z","region":"","pool":"p","state":")";
-    cr_assert_eq(platform.heard.size(), 2U);
-    cr_assert(platform.heard[0] == put + "live\"}", "%s", platform.heard[0].c_str());
-    cr_assert(platform.heard[1] == put + "leaving\"}", "%s", platform.heard[1].c_str());
+    cr_assert_eq(platform.accepted.size(), 2U);
+    cr_assert(platform.accepted[0] == put + "live\"}", "%s", platform.accepted[0].c_str());
+    cr_assert(platform.accepted[1] == put + "leaving\"}", "%s", platform.accepted[1].c_str());
 }
--- a/test/emulator/engine/model_fixture.hpp
+++ b/test/emulator/engine/model_fixture.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A small engine and short ways to talk to it, for the tests of this folder.
+/// A small engine model and helpers to use it, for the tests in this folder.
 #pragma once
 
 #include "emulator/engine/engine_model.hpp"
@@ -36,7 +36,7 @@
     return settings;
 }
 
-/// @return a prompt of `pieces` whole pieces; prompts of one letter share their prefix.
+/// @return a prompt of `pieces` complete pieces; prompts of the same letter share their prefix.
 inline std::string prompt_of(char letter, std::size_t pieces) {
     return std::string(pieces * 16, letter);
 }
@@ -53,7 +53,7 @@
     return request;
 }
 
-/// What one attempt's events came to.
+/// The collected events of one attempt.
 struct transcript {
     std::vector<std::uint32_t> indexes;
     std::string text;
@@ -63,24 +63,24 @@
 };
 
 inline transcript transcript_of(const std::vector<model_output>& outputs, attempt_handle attempt) {
-    transcript heard;
+    transcript collected;
     for (const model_output& output : outputs) {
         if (output.attempt != attempt) {
             continue;
         }
         if (const auto* started = std::get_if<engine::stream_started>(&output.event)) {
-            heard.started = *started;
+            collected.started = *started;
         } else if (const auto* token = std::get_if<engine::stream_token>(&output.event)) {
-            if (heard.indexes.empty()) {
-                heard.first_token_at = output.at;
+            if (collected.indexes.empty()) {
+                collected.first_token_at = output.at;
             }
-            heard.indexes.push_back(token->index);
-            heard.text += token->text;
+            collected.indexes.push_back(token->index);
+            collected.text += token->text;
         } else if (const auto* end = std::get_if<engine::stream_end>(&output.event)) {
-            heard.ended = *end;
+            collected.ended = *end;
         }
     }
-    return heard;
+    return collected;
 }
 
 }  // namespace ferryroad::emulator::test
--- a/test/emulator/engine/prefix_cache_test.cpp
+++ b/test/emulator/engine/prefix_cache_test.cpp
@@ -1,5 +1,5 @@
-/// The prefix cache against a plain model: what it holds of a chain is a run from the root,
-/// pinned pieces stay, capacity holds, updates tell the whole story.
+/// The prefix cache against a reference set built from its updates: the cached pieces of a chain
+/// form a prefix, pinned pieces stay, and the capacity is not exceeded.
 #include "emulator/engine/prefix_cache.hpp"
 
 #include <criterion/criterion.h>
@@ -19,7 +19,8 @@
             {}};
 }
 
-/// Chain `branch` of `length` pieces; branches 0 and 1 share their first two pieces.
+/// @return chain `branch` of `length` pieces; branches 0 and 1 share their first two pieces, and so
+/// do 2 and 3.
 core::prefix::piece_chain chain_of(int branch, std::uint32_t length) {
     core::prefix::piece_chain chain;
     for (std::uint32_t depth = 0; depth < length; ++depth) {
@@ -29,6 +30,7 @@
     return chain;
 }
 
+/// A chain in use, with its first `pinned` pieces pinned.
 struct use {
     core::prefix::cache_namespace scope;
     core::prefix::piece_chain chain;
@@ -50,7 +52,7 @@
     }
 }
 
-void check_runs_from_root(const prefix_cache& cache, const piece_set& held) {
+void check_prefixes(const prefix_cache& cache, const piece_set& held) {
     for (int number = 0; number < 2; ++number) {
         for (int branch = 0; branch < 4; ++branch) {
             const auto chain = chain_of(branch, 5);
@@ -77,8 +79,8 @@
 
 }  // namespace
 
-Test(prefix_cache, holds_runs_from_the_root) {
-    cr_assert(rc::check("runs from the root, pins, capacity, updates", [] {
+Test(prefix_cache, holds_prefixes_of_chains) {
+    cr_assert(rc::check("prefixes, pins, capacity, updates", [] {
         prefix_cache cache(capacity);
         piece_set held;
         std::vector<use> uses;
@@ -94,7 +96,7 @@
             apply_updates(cache, held);
             RC_ASSERT(held.size() == cache.size());
             RC_ASSERT(cache.size() <= capacity);
-            check_runs_from_root(cache, held);
+            check_prefixes(cache, held);
             for (const use& current : uses) {
                 RC_ASSERT(cache.match(current.scope, current.chain) >= current.pinned);
             }
@@ -102,7 +104,7 @@
     }));
 }
 
-Test(prefix_cache, evicts_the_least_recently_used_end_first) {
+Test(prefix_cache, evicts_the_end_of_the_least_recently_used_chain) {
     prefix_cache cache(4);
     for (const int branch : {0, 2}) {
         const auto chain = chain_of(branch, 2);
@@ -111,7 +113,8 @@
         cache.unpin(scope_of(0), chain, 2);
     }
     cr_assert(cache.append(scope_of(1), chain_of(0, 1), 0));
-    cr_assert_eq(cache.match(scope_of(0), chain_of(0, 2)), 1U, "the oldest chain loses its end");
+    cr_assert_eq(cache.match(scope_of(0), chain_of(0, 2)), 1U,
+                 "the last piece of the oldest chain is evicted");
     cr_assert_eq(cache.match(scope_of(0), chain_of(2, 2)), 2U);
 }
 
--- a/test/emulator/platform/platform_model_test.cpp
+++ b/test/emulator/platform/platform_model_test.cpp
@@ -1,4 +1,4 @@
-/// The platform's model under time that the test sets.
+/// Tests of the platform model with time set by the test.
 #include "emulator/platform/platform_model.hpp"
 
 #include <criterion/criterion.h>
@@ -18,9 +18,9 @@
 }
 
 platform::machine machine_named(const char* name) {
-    platform::machine one;
-    one.name = name;
-    return one;
+    platform::machine machine;
+    machine.name = name;
+    return machine;
 }
 
 std::size_t admitted(emulator::platform_model& model, base::duration from, base::duration length,
@@ -50,7 +50,7 @@
     cr_assert(model.machines(at(14s))[0].name == "b");
 }
 
-Test(platform_model, renewals_keep_the_past) {
+Test(platform_model, repeated_registrations_keep_the_history) {
     emulator::platform_options options;
     options.machine_list_lag = 2s;
     emulator::platform_model model(options);
@@ -61,7 +61,7 @@
     cr_assert_eq(model.machines(at(3600s)).size(), 1U);
 }
 
-Test(platform_model, rate_is_kept_and_comes_back) {
+Test(platform_model, rate_is_enforced_and_restored) {
     emulator::platform_options options;
     options.table_rate = 50;
     emulator::platform_model model(options);
@@ -93,7 +93,7 @@
     cr_assert(later.outcome == call_decision::verdict::admitted);
 }
 
-Test(platform_model, weight_transfers_share_one_pipe) {
+Test(platform_model, weight_transfers_share_one_link) {
     emulator::platform_options options;
     options.weights_bytes = 1000;
     options.weights_bytes_per_second = 100;
@@ -101,13 +101,14 @@
     cr_assert(model.fetch_weights("m", "1", at(1s)).done_at == at(11s));
     cr_assert(model.fetch_weights("m", "2", at(2s)).done_at == at(21s));
     cr_assert(model.fetch_weights("m", "1", at(30s)).done_at == at(40s));
-    const std::string one = model.fetch_weights("m", "1", at(50s)).checksum;
-    cr_assert(one == model.fetch_weights("m", "1", at(60s)).checksum);
-    cr_assert(one != model.fetch_weights("m", "2", at(60s)).checksum);
+    const std::string first_checksum = model.fetch_weights("m", "1", at(50s)).checksum;
+    cr_assert(first_checksum == model.fetch_weights("m", "1", at(60s)).checksum);
+    cr_assert(first_checksum != model.fetch_weights("m", "2", at(60s)).checksum);
 }
 
-Test(platform_model, versions_only_rise) {
-    cr_assert(rc::check("a key's version never comes back", [](std::vector<std::uint8_t> steps) {
+Test(platform_model, versions_only_increase) {
+    cr_assert(rc::check("the version of a key is never reused", [](std::vector<std::uint8_t>
+                                                                       steps) {
         emulator::table_model table;
         std::uint64_t last = 0;
         for (const std::uint8_t step : steps) {
--- a/test/emulator/platform/platform_protocol_test.cpp
+++ b/test/emulator/platform/platform_protocol_test.cpp
@@ -1,5 +1,5 @@
-/// The stand-in speaks docs/reference/platform-protocol.md to the letter: bodies are written out
-/// here, since both ends share one codec.
+/// The emulated platform follows docs/reference/platform-protocol.md exactly. The test spells out
+/// the bodies, since client and server share one codec and would share its faults.
 #include "emulator/platform/platform_server.hpp"
 #include "test/http/loopback.hpp"
 
@@ -7,17 +7,17 @@
 
 namespace {
 
-constexpr base::duration limit = std::chrono::seconds(20);
+constexpr base::duration call_timeout = std::chrono::seconds(20);
 
-/// Requests sent one after another to a fresh platform; the last one's answer counts.
+/// Requests sent in order to a new platform; the test checks the answer to the last one.
 struct row {
     const char* name;
     std::vector<http::request> requests;
     unsigned status;
-    const char* body;  ///< Whole, or the part that must be in it.
+    const char* body;  ///< Text that the answer's body must contain.
 };
 
-http::request ask(const char* method, const char* target, const char* body = "") {
+http::request make_request(const char* method, const char* target, const char* body = "") {
     http::request message;
     message.method = method;
     message.target = target;
@@ -26,11 +26,11 @@
 }
 
 http::request transact(const char* body) {
-    return ask("POST", "/table/transact", body);
+    return make_request("POST", "/table/transact", body);
 }
 
 http::request faults(const char* body) {
-    return ask("POST", "/emulator/faults", body);
+    return make_request("POST", "/emulator/faults", body);
 }
 
 const char* const insert_a =
@@ -48,33 +48,39 @@
         {"delete",
          {transact(insert_a),
           transact(R"({"transactions":[{"writes":[{"key":"a","value":null}]}]})"),
-          ask("POST", "/table/read", R"({"keys":["a"]})")},
+          make_request("POST", "/table/read", R"({"keys":["a"]})")},
          200,
          R"({"rows":[]})"},
         {"read",
-         {transact(insert_a), ask("POST", "/table/read", R"({"keys":["b","a"]})")},
+         {transact(insert_a), make_request("POST", "/table/read", R"({"keys":["b","a"]})")},
          200,
          R"({"rows":[{"key":"a","value":"1","version":1}]})"},
         {"scan",
-         {transact(insert_a), ask("GET", "/table/scan?prefix=a&after=&limit=5")},
+         {transact(insert_a), make_request("GET", "/table/scan?prefix=a&after=&limit=5")},
          200,
          R"({"rows":[{"key":"a","value":"1","version":1}]})"},
-        {"object", {ask("PUT", "/objects/x", "bytes"), ask("GET", "/objects/x")}, 200, "bytes"},
-        {"put object", {ask("PUT", "/objects/x", "bytes")}, 200, "{}"},
-        {"absent object", {ask("GET", "/objects/x")}, 404, "not_found"},
-        {"weights", {ask("GET", "/weights/m/v?tokens=1")}, 200, R"("bytes":1000,"checksum":")"},
+        {"object",
+         {make_request("PUT", "/objects/x", "bytes"), make_request("GET", "/objects/x")},
+         200,
+         "bytes"},
+        {"put object", {make_request("PUT", "/objects/x", "bytes")}, 200, "{}"},
+        {"absent object", {make_request("GET", "/objects/x")}, 404, "not_found"},
+        {"weights",
+         {make_request("GET", "/weights/m/v?tokens=1")},
+         200,
+         R"("bytes":1000,"checksum":")"},
         {"machine",
-         {ask("PUT", "/emulator/machines/e", machine_e), ask("GET", "/machines")},
+         {make_request("PUT", "/emulator/machines/e", machine_e), make_request("GET", "/machines")},
          200,
          R"({"machines":[{"name":"e","kind":"engine","address":"127.0.0.1:9","zone":"z","region":"r","pool":"p","state":"live"}]})"},
         {"removed machine",
-         {ask("PUT", "/emulator/machines/e", machine_e), ask("DELETE", "/emulator/machines/e"),
-          ask("GET", "/machines")},
+         {make_request("PUT", "/emulator/machines/e", machine_e),
+          make_request("DELETE", "/emulator/machines/e"), make_request("GET", "/machines")},
          200,
          R"({"machines":[]})"},
         {"machine list lag",
-         {faults(R"({"machine_list_lag_ms":60000})"), ask("PUT", "/emulator/machines/e", machine_e),
-          ask("GET", "/machines")},
+         {faults(R"({"machine_list_lag_ms":60000})"),
+          make_request("PUT", "/emulator/machines/e", machine_e), make_request("GET", "/machines")},
          200,
          R"({"machines":[]})"},
         {"outage", {faults(R"({"outage":true})"), transact(insert_a)}, 503, R"("code":"outage")"},
@@ -91,7 +97,8 @@
          429,
          R"("retry_after_ms":)"},
         {"each service has its own rate",
-         {faults(R"({"rate_limit_per_second":0.01})"), transact(insert_a), ask("GET", "/machines")},
+         {faults(R"({"rate_limit_per_second":0.01})"), transact(insert_a),
+          make_request("GET", "/machines")},
          200,
          R"({"machines":[]})"},
         {"no JSON", {transact("{")}, 400, "JSON fault at byte 1"},
@@ -101,22 +108,22 @@
          400,
          "value"},
         {"a number for a key",
-         {ask("POST", "/table/read", R"({"keys":[1]})")},
+         {make_request("POST", "/table/read", R"({"keys":[1]})")},
          400,
          "a list of strings"},
         {"bad machine",
-         {ask("PUT", "/emulator/machines/e", R"({"name":"e","kind":"ferry"})")},
+         {make_request("PUT", "/emulator/machines/e", R"({"name":"e","kind":"ferry"})")},
          400,
          "engine or router"},
         {"bad fault", {faults(R"({"delay_ms":"long"})")}, 400, "delay_ms"},
         {"bad rate", {faults(R"({"rate_limit_per_second":0})")}, 400, "a rate above 0"},
-        {"unknown path", {ask("GET", "/nothing")}, 404, "not_found"},
-        {"wrong method", {ask("DELETE", "/objects/x")}, 405, "wrong_method"},
+        {"unknown path", {make_request("GET", "/nothing")}, 404, "not_found"},
+        {"wrong method", {make_request("DELETE", "/objects/x")}, 405, "wrong_method"},
     };
     return table;
 }
 
-emulator::platform_options quick_options() {
+emulator::platform_options options_without_delays() {
     emulator::platform_options options;
     options.call_time = base::duration::zero();
     options.machine_list_lag = base::duration::zero();
@@ -126,15 +133,15 @@
 
 http::response last_answer(const row& given) {
     test::loopback loop;
-    emulator::platform_server server(loop.scheduler, quick_options());
+    emulator::platform_server server(loop.scheduler, options_without_delays());
     const base::endpoint address = server.listen(test::any_port);
     http::client client(loop.scheduler, {});
     http::response last;
     const auto body = [&]() -> runtime::task<void> {
         for (const http::request& message : given.requests) {
             http::request copy = message;
-            auto answer =
-                co_await client.send(address, std::move(copy), limit, http::resend::forbidden);
+            auto answer = co_await client.send(address, std::move(copy), call_timeout,
+                                               http::resend::forbidden);
             cr_assert(answer.has_value(), "%s, %s", given.name, answer.error().message.c_str());
             last = std::move(*answer);
         }
