--- a/emulator/engine/connection_faults.cpp
+++ b/emulator/engine/connection_faults.cpp
@@ -30,14 +30,14 @@
 }
 
 runtime::task<void> connection_faults::answer(http::response reply, http::response_writer& writer) {
-    if (take_lost_answer()) {
+    if (consume_lost_answer()) {
         writer.abort();
         co_return;
     }
     [[maybe_unused]] const auto sent = co_await writer.send(std::move(reply));
 }
 
-bool connection_faults::take_lost_answer() {
+bool connection_faults::consume_lost_answer() {
     if (lost_answers_ == 0) {
         return false;
     }
--- a/emulator/engine/connection_faults.hpp
+++ b/emulator/engine/connection_faults.hpp
@@ -29,10 +29,10 @@
     runtime::task<void> answer(http::response reply, http::response_writer& writer);
 
     /// Counts down the answers to lose. @return whether the current answer is to be lost.
-    bool take_lost_answer();
+    bool consume_lost_answer();
 
     /// @return whether to cut a stream that has sent `tokens` tokens on its connection.
-    bool cuts_after(std::uint32_t tokens) const {
+    bool must_cut_after(std::uint32_t tokens) const {
         return cut_after_tokens_ && tokens >= *cut_after_tokens_;
     }
 
--- a/emulator/engine/engine_model.cpp
+++ b/emulator/engine/engine_model.cpp
@@ -203,13 +203,14 @@
                              "first_token is outside the attempt", std::nullopt};
     }
     entry.emit_from = first_token;
-    std::erase_if(detached_, [&](const deadline& held) { return held.attempt == known->second; });
+    std::erase_if(detached_,
+                  [&](const deadline& detached) { return detached.attempt == known->second; });
     replay(known->second, entry, now);
     return known->second;
 }
 
 void engine_model::replay(attempt_handle attempt, attempt_entry& entry, base::monotonic_time now) {
-    std::erase_if(outputs_, [&](const model_output& held) { return held.attempt == attempt; });
+    std::erase_if(outputs_, [&](const model_output& output) { return output.attempt == attempt; });
     if (entry.started) {
         outputs_.push_back({attempt, now, *entry.started});
     }
--- a/emulator/engine/engine_model_state.cpp
+++ b/emulator/engine/engine_model_state.cpp
@@ -33,11 +33,11 @@
     for (const adapter_loading& loading : adapter_loads_) {
         lower(next, loading.ready_at);
     }
-    for (const pending_import& held : imports_) {
-        lower(next, held.ready_at);
+    for (const pending_import& pending : imports_) {
+        lower(next, pending.ready_at);
     }
-    for (const deadline& held : detached_) {
-        lower(next, held.at);
+    for (const deadline& detached : detached_) {
+        lower(next, detached.at);
     }
     return next;
 }
@@ -61,28 +61,29 @@
 }
 
 void engine_model::finish_imports(base::monotonic_time at) {
-    for (const pending_import& held : imports_) {
-        if (held.ready_at > at || !serves(held.scope)) {
+    for (const pending_import& pending : imports_) {
+        if (pending.ready_at > at || !serves(pending.scope)) {
             continue;
         }
-        std::uint32_t stored = cache_.pin(held.scope, held.pieces);
-        while (stored < held.pieces.size() && cache_.append(held.scope, held.pieces, stored)) {
+        std::uint32_t stored = cache_.pin(pending.scope, pending.pieces);
+        while (stored < pending.pieces.size() &&
+               cache_.append(pending.scope, pending.pieces, stored)) {
             ++stored;
         }
-        cache_.unpin(held.scope, held.pieces, stored);
+        cache_.unpin(pending.scope, pending.pieces, stored);
         publish(at);
     }
-    std::erase_if(imports_, [at](const pending_import& held) { return held.ready_at <= at; });
+    std::erase_if(imports_, [at](const pending_import& pending) { return pending.ready_at <= at; });
 }
 
 void engine_model::cancel_detached(base::monotonic_time at) {
     std::vector<attempt_handle> due;
-    for (const deadline& held : detached_) {
-        if (held.at <= at) {
-            due.push_back(held.attempt);
+    for (const deadline& detached : detached_) {
+        if (detached.at <= at) {
+            due.push_back(detached.attempt);
         }
     }
-    std::erase_if(detached_, [at](const deadline& held) { return held.at <= at; });
+    std::erase_if(detached_, [at](const deadline& detached) { return detached.at <= at; });
     for (const attempt_handle attempt : due) {
         cancel_attempt(attempt, at);
     }
@@ -163,16 +164,16 @@
     if (auto refusal = check_process(process_)) {
         return std::move(*refusal);
     }
-    const std::uint32_t held = cache_.match(scope, pieces);
-    if (held == 0) {
+    const std::uint32_t cached = cache_.match(scope, pieces);
+    if (cached == 0) {
         return engine::error{engine::error_code::not_found, engine::proof::not_run,
                              "no piece of it is held", std::nullopt};
     }
     exported_state state;
     state.scope = scope;
     state.process = process_;
-    state.pieces.assign(pieces.begin(), pieces.begin() + held);
-    state.payload = "state of " + settings_.name.value + ": " + std::to_string(held) + " pieces";
+    state.pieces.assign(pieces.begin(), pieces.begin() + cached);
+    state.payload = "state of " + settings_.name.value + ": " + std::to_string(cached) + " pieces";
     state.checksum = state_checksum(state);
     return state;
 }
@@ -194,8 +195,8 @@
     if (!is_prefix(state.pieces, request.pieces) || state.checksum != state_checksum(state)) {
         return refuse_import("pieces or checksum do not match");
     }
-    const std::uint32_t held = cache_.match(state.scope, state.pieces);
-    const auto moved = static_cast<std::uint32_t>(state.pieces.size()) - held;
+    const std::uint32_t cached = cache_.match(state.scope, state.pieces);
+    const auto moved = static_cast<std::uint32_t>(state.pieces.size()) - cached;
     const import_ticket ticket{now + settings_.transfer_per_piece * std::int64_t{moved}, moved};
     imports_.push_back({ticket.ready_at, state.scope, state.pieces});
     return ticket;
--- a/emulator/engine/engine_program.cpp
+++ b/emulator/engine/engine_program.cpp
@@ -75,7 +75,7 @@
     machine.state = platform::machine_state::live;
     engine.registration = std::make_unique<machine_registration>(
         engine.scheduler, engine.connections, settings.platform, std::move(machine));
-    engine.scheduler.spawn(log_component, engine.registration->keep());
+    engine.scheduler.spawn(log_component, engine.registration->keep_registered());
 }
 
 /// Stops gracefully on the first signal; later signals have no effect.
--- a/emulator/engine/event_journal.cpp
+++ b/emulator/engine/event_journal.cpp
@@ -56,9 +56,9 @@
 
 std::optional<base::monotonic_time> event_journal::next_publication(
     base::monotonic_time now) const {
-    const auto later =
-        std::partition_point(entries_.begin(), entries_.end(),
-                             [now](const entry& held) { return held.published_at <= now; });
+    const auto later = std::partition_point(
+        entries_.begin(), entries_.end(),
+        [now](const entry& candidate) { return candidate.published_at <= now; });
     if (later == entries_.end()) {
         return std::nullopt;
     }
--- a/emulator/engine/machine_registration.cpp
+++ b/emulator/engine/machine_registration.cpp
@@ -38,7 +38,7 @@
       platform_(std::move(platform)),
       machine_(std::move(machine)) {}
 
-runtime::task<void> machine_registration::keep() {
+runtime::task<void> machine_registration::keep_registered() {
     bool registered = false;
     while (machine_.state == platform::machine_state::live) {
         const bool accepted = co_await put();
--- a/emulator/engine/machine_registration.hpp
+++ b/emulator/engine/machine_registration.hpp
@@ -17,7 +17,7 @@
 
     /// Registers the machine and repeats that periodically in case the platform loses its list; a
     /// failed call is retried sooner. Ends after `mark_leaving`.
-    runtime::task<void> keep();
+    runtime::task<void> keep_registered();
 
     /// Marks the machine as leaving; gives up after a few failed calls.
     runtime::task<void> mark_leaving();
--- a/emulator/engine/model_service.cpp
+++ b/emulator/engine/model_service.cpp
@@ -136,15 +136,15 @@
     const auto reader = streams_.open(attempt);
     dispatch_outputs();
     stream_ending ending = stream_ending::cut;
-    if (!faults_.take_lost_answer()) {
+    if (!faults_.consume_lost_answer()) {
         stream_writer lines(model_.execution(attempt).attempt, reader, faults_, writer);
         ending = co_await lines.run();
     }
-    if (ending != stream_ending::whole) {
+    if (ending != stream_ending::complete) {
         writer.abort();
     }
     const bool was_reading = streams_.close(attempt, reader);
-    if (ending != stream_ending::whole && was_reading) {
+    if (ending != stream_ending::complete && was_reading) {
         model_.detach(attempt, scheduler_.now());
         dispatch_outputs();
     }
@@ -202,9 +202,9 @@
     if (process != model_.process()) {
         co_return error_response(refused_import("crashed in the meantime"));
     }
-    const std::uint32_t held =
+    const std::uint32_t cached =
         model_.held_pieces(call->request.scope, call->request.pieces, scheduler_.now());
-    co_return json_response(status_ok, protocol::encode(engine::import_answer{held}));
+    co_return json_response(status_ok, protocol::encode(engine::import_answer{cached}));
 }
 
 runtime::task<outcome<exported_state>> model_service::fetch_state(engine::import_request request) {
--- a/emulator/engine/prefix_cache.cpp
+++ b/emulator/engine/prefix_cache.cpp
@@ -35,23 +35,23 @@
     if (number == nullptr) {
         return 0;
     }
-    std::uint32_t held = 0;
-    while (held < chain.size() && entries_.contains({*number, chain[held]})) {
-        ++held;
+    std::uint32_t cached = 0;
+    while (cached < chain.size() && entries_.contains({*number, chain[cached]})) {
+        ++cached;
     }
-    return held;
+    return cached;
 }
 
 std::uint32_t prefix_cache::pin(const cache_namespace& scope, const piece_chain& chain) {
-    const std::uint32_t held = match(scope, chain);
-    if (held == 0) {
+    const std::uint32_t cached = match(scope, chain);
+    if (cached == 0) {
         return 0;
     }
     const scope_number number = scope_of(scope);
-    for (std::uint32_t depth = 0; depth < held; ++depth) {
+    for (std::uint32_t depth = 0; depth < cached; ++depth) {
         pin_entry(entries_.at({number, chain[depth]}));
     }
-    return held;
+    return cached;
 }
 
 bool prefix_cache::append(const cache_namespace& scope, const piece_chain& chain,
@@ -94,8 +94,8 @@
     while (!unpinned_.empty()) {
         evict_oldest();
     }
-    for (const entry& held : pinned_) {
-        record(engine::cache_change::evicted, held);
+    for (const entry& dropped : pinned_) {
+        record(engine::cache_change::evicted, dropped);
     }
     pinned_.clear();
     entries_.clear();
--- a/emulator/engine/stream_writer.cpp
+++ b/emulator/engine/stream_writer.cpp
@@ -61,7 +61,7 @@
         }
         if (ready.ended) {
             [[maybe_unused]] const auto closed = co_await connection_.end_stream();
-            co_return stream_ending::whole;
+            co_return stream_ending::complete;
         }
     }
 }
@@ -73,9 +73,9 @@
         reader_->pending.pop_front();
         const bool is_start = std::holds_alternative<engine::stream_started>(output.event);
         const std::string line = line_of(output);
-        if (!is_start && faults_.cuts_after(tokens_written_)) {
-            ready.lines +=
-                line.substr(0, line.size() / 2);  // A cut ends the stream in the middle of a line.
+        if (!is_start && faults_.must_cut_after(tokens_written_)) {
+            // A cut ends the stream in the middle of a line.
+            ready.lines += line.substr(0, line.size() / 2);
             ready.cut = true;
             return ready;
         }
--- a/emulator/engine/stream_writer.hpp
+++ b/emulator/engine/stream_writer.hpp
@@ -13,7 +13,7 @@
 
 /// Why the writing of a stream ended.
 enum class stream_ending {
-    whole,     ///< The `end` line was written.
+    complete,  ///< The `end` line was written.
     replaced,  ///< Another connection has taken over the attempt.
     cut,       ///< A fault cut the stream.
     closed     ///< The peer has closed the connection.
--- a/emulator/platform/model_services.cpp
+++ b/emulator/platform/model_services.cpp
@@ -8,7 +8,7 @@
 
 }  // namespace
 
-runtime::task<std::optional<platform::error>> model_gate::admit(platform_service service) {
+runtime::task<std::optional<platform::error>> call_admission::admit(platform_service service) {
     const call_decision decision = model_.decide(service, scheduler_.now(), scheduler_.random());
     co_await scheduler_.sleep_for(decision.delay);
     switch (decision.outcome) {
@@ -25,11 +25,11 @@
 
 runtime::task<platform::result<std::vector<platform::transaction_outcome>>> model_table::transact(
     std::vector<platform::transaction> transactions) {
-    const auto refused = co_await gate_.admit(platform_service::table);
+    const auto refused = co_await admission_.admit(platform_service::table);
     if (refused) {
         co_return *refused;
     }
-    commit_result committed = gate_.model().transact(transactions);
+    commit_result committed = admission_.model().transact(transactions);
     if (committed.answer_lost) {
         co_return platform::error{error_code::answer_lost, "answer lost", std::nullopt};
     }
@@ -38,37 +38,37 @@
 
 runtime::task<platform::result<std::vector<platform::row>>> model_table::read(
     std::vector<platform::row_key> keys) {
-    const auto refused = co_await gate_.admit(platform_service::table);
+    const auto refused = co_await admission_.admit(platform_service::table);
     if (refused) {
         co_return *refused;
     }
-    co_return gate_.model().read(keys);
+    co_return admission_.model().read(keys);
 }
 
 runtime::task<platform::result<std::vector<platform::row>>> model_table::scan(
     std::string prefix, platform::row_key after, std::uint32_t limit) {
-    const auto refused = co_await gate_.admit(platform_service::table);
+    const auto refused = co_await admission_.admit(platform_service::table);
     if (refused) {
         co_return *refused;
     }
-    co_return gate_.model().scan(prefix, after, limit);
+    co_return admission_.model().scan(prefix, after, limit);
 }
 
 runtime::task<platform::result<void>> model_object_store::put(std::string name, std::string bytes) {
-    const auto refused = co_await gate_.admit(platform_service::objects);
+    const auto refused = co_await admission_.admit(platform_service::objects);
     if (refused) {
         co_return *refused;
     }
-    gate_.model().put_object(name, std::move(bytes));
+    admission_.model().put_object(name, std::move(bytes));
     co_return platform::result<void>();
 }
 
 runtime::task<platform::result<std::string>> model_object_store::get(std::string name) {
-    const auto refused = co_await gate_.admit(platform_service::objects);
+    const auto refused = co_await admission_.admit(platform_service::objects);
     if (refused) {
         co_return *refused;
     }
-    const std::string* bytes = gate_.model().get_object(name);
+    const std::string* bytes = admission_.model().get_object(name);
     if (bytes == nullptr) {
         co_return platform::error{error_code::not_found, name + " is not here", std::nullopt};
     }
@@ -76,11 +76,11 @@
 }
 
 runtime::task<platform::result<std::vector<platform::machine>>> model_machine_list::list() {
-    const auto refused = co_await gate_.admit(platform_service::machines);
+    const auto refused = co_await admission_.admit(platform_service::machines);
     if (refused) {
         co_return *refused;
     }
-    co_return gate_.model().machines(gate_.scheduler().now());
+    co_return admission_.model().machines(admission_.scheduler().now());
 }
 
 }  // namespace ferryroad::emulator
--- a/emulator/platform/model_services.hpp
+++ b/emulator/platform/model_services.hpp
@@ -12,9 +12,9 @@
 
 /// Applies the model's admission decision to a call. The model and the scheduler must outlive
 /// this object.
-class model_gate {
+class call_admission {
   public:
-    model_gate(platform_model& model, runtime::scheduler& scheduler)
+    call_admission(platform_model& model, runtime::scheduler& scheduler)
         : model_(model), scheduler_(scheduler) {}
 
     /// Waits for the call's simulated delay. @return the refusal, or `nullopt` if the call is
@@ -31,7 +31,8 @@
 /// `platform::table` on the model. The model and the scheduler must outlive it.
 class model_table final : public platform::table {
   public:
-    model_table(platform_model& model, runtime::scheduler& scheduler) : gate_(model, scheduler) {}
+    model_table(platform_model& model, runtime::scheduler& scheduler)
+        : admission_(model, scheduler) {}
 
     runtime::task<platform::result<std::vector<platform::transaction_outcome>>> transact(
         std::vector<platform::transaction> transactions) override;
@@ -42,32 +43,32 @@
                                                                      std::uint32_t limit) override;
 
   private:
-    model_gate gate_;
+    call_admission admission_;
 };
 
 /// `platform::object_store` on the model. The model and the scheduler must outlive it.
 class model_object_store final : public platform::object_store {
   public:
     model_object_store(platform_model& model, runtime::scheduler& scheduler)
-        : gate_(model, scheduler) {}
+        : admission_(model, scheduler) {}
 
     runtime::task<platform::result<void>> put(std::string name, std::string bytes) override;
     runtime::task<platform::result<std::string>> get(std::string name) override;
 
   private:
-    model_gate gate_;
+    call_admission admission_;
 };
 
 /// `platform::machine_list` on the model. The model and the scheduler must outlive it.
 class model_machine_list final : public platform::machine_list {
   public:
     model_machine_list(platform_model& model, runtime::scheduler& scheduler)
-        : gate_(model, scheduler) {}
+        : admission_(model, scheduler) {}
 
     runtime::task<platform::result<std::vector<platform::machine>>> list() override;
 
   private:
-    model_gate gate_;
+    call_admission admission_;
 };
 
 }  // namespace ferryroad::emulator
--- a/emulator/platform/platform_model.cpp
+++ b/emulator/platform/platform_model.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-constexpr double least_time_share = 0.5;
+/// Smallest call time as a factor of `platform_options::call_time`; the largest is 1 more.
+constexpr double min_time_factor = 0.5;
 
 bool has_commit(const std::vector<platform::transaction_outcome>& outcomes) {
     return std::any_of(
@@ -42,9 +43,9 @@
 call_decision platform_model::decide(platform_service service, base::monotonic_time now,
                                      base::random_source& random) {
     call_decision decision;
-    const double time_share = least_time_share + random.unit();
+    const double time_factor = min_time_factor + random.unit();
     decision.delay =
-        base::from_seconds(base::to_seconds(options_.call_time) * time_share) + faults_.delay;
+        base::from_seconds(base::to_seconds(options_.call_time) * time_factor) + faults_.delay;
     if (faults_.outage) {
         decision.outcome = call_decision::verdict::outage;
         return decision;
--- a/test/emulator/engine/machine_registration_test.cpp
+++ b/test/emulator/engine/machine_registration_test.cpp
@@ -43,7 +43,7 @@
     http::client connections(loop.scheduler, http::client_limits{});
     emulator::machine_registration registration(loop.scheduler, connections,
                                                 server.listen(test::any_port), engine_machine());
-    loop.scheduler.spawn("keep", registration.keep());
+    loop.scheduler.spawn("keep", registration.keep_registered());
     co_await loop.until([&] { return !platform.accepted.empty(); });
     platform.refusals = 1;
     co_await registration.mark_leaving();
