--- a/emulator/engine/engine_model_state.cpp
+++ b/emulator/engine/engine_model_state.cpp
@@ -1,4 +1,4 @@
-/// The emulated engine's slow changes: passing time, warm state, orders, crash and restart.
+/// The parts of `engine_model` that deal with time, warm state, orders, crash and restart.
 #include "emulator/engine/engine_model.hpp"
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Takes the earlier of two times, where there are any.
+/// Sets `least` to `other` if that is earlier; a missing time counts as later than any.
 void lower(std::optional<base::monotonic_time>& least, std::optional<base::monotonic_time> other) {
     if (other && (!least || *other < *least)) {
         least = other;
@@ -20,8 +20,8 @@
             std::nullopt};
 }
 
-/// @return whether `part` is a run of `whole` from the root.
-bool leads(const core::prefix::piece_chain& part, const core::prefix::piece_chain& whole) {
+/// @return whether `part` is a prefix of `whole`.
+bool is_prefix(const core::prefix::piece_chain& part, const core::prefix::piece_chain& whole) {
     return part.size() <= whole.size() && std::equal(part.begin(), part.end(), whole.begin());
 }
 
@@ -33,11 +33,11 @@
     for (const adapter_loading& loading : adapter_loads_) {
         lower(next, loading.ready_at);
     }
-    for (const pending_import& held : imports_) {
-        lower(next, held.ready_at);
+    for (const pending_import& pending : imports_) {
+        lower(next, pending.ready_at);
     }
-    for (const deadline& held : detached_) {
-        lower(next, held.at);
+    for (const deadline& detached : detached_) {
+        lower(next, detached.at);
     }
     return next;
 }
@@ -48,7 +48,7 @@
         run_due(*next);
         next = next_wakeup();
     }
-    forget_ended(now);
+    drop_ended(now);
 }
 
 void engine_model::run_due(base::monotonic_time at) {
@@ -61,34 +61,35 @@
 }
 
 void engine_model::finish_imports(base::monotonic_time at) {
-    for (const pending_import& held : imports_) {
-        if (held.ready_at > at || !serves(held.scope)) {
+    for (const pending_import& pending : imports_) {
+        if (pending.ready_at > at || !serves(pending.scope)) {
             continue;
         }
-        std::uint32_t stored = cache_.pin(held.scope, held.pieces);
-        while (stored < held.pieces.size() && cache_.append(held.scope, held.pieces, stored)) {
+        std::uint32_t stored = cache_.pin(pending.scope, pending.pieces);
+        while (stored < pending.pieces.size() &&
+               cache_.append(pending.scope, pending.pieces, stored)) {
             ++stored;
         }
-        cache_.unpin(held.scope, held.pieces, stored);
+        cache_.unpin(pending.scope, pending.pieces, stored);
         publish(at);
     }
-    std::erase_if(imports_, [at](const pending_import& held) { return held.ready_at <= at; });
+    std::erase_if(imports_, [at](const pending_import& pending) { return pending.ready_at <= at; });
 }
 
 void engine_model::cancel_detached(base::monotonic_time at) {
     std::vector<attempt_handle> due;
-    for (const deadline& held : detached_) {
-        if (held.at <= at) {
-            due.push_back(held.attempt);
+    for (const deadline& detached : detached_) {
+        if (detached.at <= at) {
+            due.push_back(detached.attempt);
         }
     }
-    std::erase_if(detached_, [at](const deadline& held) { return held.at <= at; });
+    std::erase_if(detached_, [at](const deadline& detached) { return detached.at <= at; });
     for (const attempt_handle attempt : due) {
         cancel_attempt(attempt, at);
     }
 }
 
-void engine_model::forget_ended(base::monotonic_time at) {
+void engine_model::drop_ended(base::monotonic_time at) {
     while (!ended_.empty() && ended_.front().at <= at) {
         attempts_.erase(ended_.front().attempt);
         ended_.pop_front();
@@ -163,16 +164,16 @@
     if (auto refusal = check_process(process_)) {
         return std::move(*refusal);
     }
-    const std::uint32_t held = cache_.match(scope, pieces);
-    if (held == 0) {
+    const std::uint32_t cached = cache_.match(scope, pieces);
+    if (cached == 0) {
         return engine::error{engine::error_code::not_found, engine::proof::not_run,
                              "no piece of it is held", std::nullopt};
     }
     exported_state state;
     state.scope = scope;
     state.process = process_;
-    state.pieces.assign(pieces.begin(), pieces.begin() + held);
-    state.payload = "state of " + settings_.name.value + ": " + std::to_string(held) + " pieces";
+    state.pieces.assign(pieces.begin(), pieces.begin() + cached);
+    state.payload = "state of " + settings_.name.value + ": " + std::to_string(cached) + " pieces";
     state.checksum = state_checksum(state);
     return state;
 }
@@ -191,11 +192,11 @@
     if (state.process != request.source.incarnation) {
         return refuse_import("exported by another process than asked for");
     }
-    if (!leads(state.pieces, request.pieces) || state.checksum != state_checksum(state)) {
+    if (!is_prefix(state.pieces, request.pieces) || state.checksum != state_checksum(state)) {
         return refuse_import("pieces or checksum do not match");
     }
-    const std::uint32_t held = cache_.match(state.scope, state.pieces);
-    const auto moved = static_cast<std::uint32_t>(state.pieces.size()) - held;
+    const std::uint32_t cached = cache_.match(state.scope, state.pieces);
+    const auto moved = static_cast<std::uint32_t>(state.pieces.size()) - cached;
     const import_ticket ticket{now + settings_.transfer_per_piece * std::int64_t{moved}, moved};
     imports_.push_back({ticket.ready_at, state.scope, state.pieces});
     return ticket;
