--- a/src/ferryroad/caller/caller_front.cpp
+++ b/src/ferryroad/caller/caller_front.cpp
@@ -28,7 +28,7 @@
 template <typename T>
 using parsed = std::variant<T, error>;
 
-/// Runs a synchronous step, its LEAF errors turned into this layer's own.
+/// Runs a synchronous step and converts its LEAF errors into `caller::error`.
 template <typename Step>
 auto parse(Step step) -> parsed<std::decay_t<decltype(*step())>> {
     using value = std::decay_t<decltype(*step())>;
@@ -85,8 +85,9 @@
     return answer;
 }
 
-/// Lets no exception out: an awaited group would wait for its other half for ever.
-runtime::task<void> contained(runtime::task<void> work) {
+/// Logs an exception instead of passing it on: when one operand of awaitable `||` throws, the
+/// group keeps waiting for the other operand.
+runtime::task<void> log_exceptions(runtime::task<void> work) {
     try {
         co_await std::move(work);
     } catch (...) {
@@ -96,26 +97,26 @@
 
 }  // namespace
 
-struct caller_front::exchange {
-    exchange(caller_front& owner, http::request received, http::response_writer& out)
+struct caller_front::request_context {
+    request_context(caller_front& owner, http::request received, http::response_writer& out)
         : front(owner),
           message(std::move(received)),
           writer(out),
           id(owner.next_request_id()),
           arrived(owner.scheduler_.now()) {
-        front.counted_.request_began();
+        front.metrics_.request_began();
     }
-    ~exchange() {
+    ~request_context() {
         const auto taken = front.scheduler_.now() - arrived;
-        front.counted_.request_ended(api, outcome, taken);
+        front.metrics_.request_ended(api, outcome, taken);
         runtime::log(runtime::log_level::info, component, "request ended",
                      {{"request_id", id.value},
                       {"api", std::string(api)},
                       {"outcome", std::string(outcome)},
                       {"milliseconds", std::to_string(base::to_milliseconds(taken))}});
     }
-    exchange(const exchange&) = delete;
-    exchange& operator=(const exchange&) = delete;
+    request_context(const request_context&) = delete;
+    request_context& operator=(const request_context&) = delete;
 
     caller_front& front;
     http::request message;
@@ -123,7 +124,7 @@
     base::request_id id;
     base::monotonic_time arrived;
     std::string_view api = "application";
-    std::string_view outcome = "abandoned";  ///< Until something was answered.
+    std::string_view outcome = "abandoned";  ///< Remains when no answer is sent.
 };
 
 caller_front::caller_front(runtime::scheduler& scheduler, router::request_service& requests,
@@ -131,7 +132,7 @@
     : scheduler_(scheduler),
       requests_(requests),
       registry_(registry),
-      counted_(registry),
+      metrics_(registry),
       ready_(std::move(ready)),
       limits_(limits) {}
 
@@ -141,19 +142,19 @@
         co_await answer_probe(path, writer);
         co_return;
     }
-    exchange at(*this, std::move(request), writer);
+    request_context context(*this, std::move(request), writer);
     const auto api = api_of(path);
     if (api) {
-        co_await answer_generation(at, *api);
+        co_await answer_generation(context, *api);
     } else {
-        co_await answer_application(at);
+        co_await answer_application(context);
     }
 }
 
 void caller_front::complete_refusal(http::response& answer) {
     const base::request_id id = next_request_id();
     mark_not_run(id, answer);
-    counted_.refused_unread();
+    metrics_.count_unreadable_request();
     runtime::log(runtime::log_level::info, component, "unreadable request refused",
                  {{"request_id", id.value}, {"status", std::to_string(answer.status)}});
 }
@@ -169,128 +170,133 @@
     co_await writer.send(std::move(answer));
 }
 
-runtime::task<void> caller_front::answer_generation(exchange& at, generation_api api) {
-    at.api = to_string(api);
-    if (at.message.method != "POST") {
+runtime::task<void> caller_front::answer_generation(request_context& context, generation_api api) {
+    context.api = to_string(api);
+    if (context.message.method != "POST") {
         error failure{error_code::method_not_allowed, "Expected POST."};
-        co_await turn_away(at, std::move(failure));
+        co_await reject(context, std::move(failure));
         co_return;
     }
-    auto headers = parse([&] { return read_caller_headers(at.message.headers, limits_); });
+    auto headers = parse([&] { return read_caller_headers(context.message.headers, limits_); });
     if (auto* failure = std::get_if<error>(&headers)) {
-        co_await turn_away(at, std::move(*failure));
+        co_await reject(context, std::move(*failure));
         co_return;
     }
-    auto body = parse([&] { return read_generation_body(api, at.message.body, limits_); });
+    auto body = parse([&] { return read_generation_body(api, context.message.body, limits_); });
     if (auto* failure = std::get_if<error>(&body)) {
-        co_await turn_away(at, std::move(*failure));
+        co_await reject(context, std::move(*failure));
         co_return;
     }
-    auto& said = std::get<caller_headers>(headers);
-    auto& wanted = std::get<generation_body>(body);
-    const generation_answer answer(api, at.id, wanted.model, scheduler_.unix_milliseconds() / 1000);
-    router::generation_call call{at.id,
-                                 std::move(said.bearer_key),
-                                 std::string(at.message.path()),
-                                 std::move(wanted.model),
-                                 std::move(wanted.adapter),
-                                 std::move(wanted.prompt),
-                                 wanted.max_tokens,
-                                 std::move(said.key)};
-    auto work = wanted.stream ? generate_stream(at, std::move(call), answer)
-                              : generate_whole(at, std::move(call), answer);
-    co_await while_caller_waits(at, std::move(work));
+    auto& caller_fields = std::get<caller_headers>(headers);
+    auto& generation_fields = std::get<generation_body>(body);
+    const generation_answer answer(api, context.id, generation_fields.model,
+                                   scheduler_.unix_milliseconds() / 1000);
+    router::generation_call call{context.id,
+                                 std::move(caller_fields.bearer_key),
+                                 std::string(context.message.path()),
+                                 std::move(generation_fields.model),
+                                 std::move(generation_fields.adapter),
+                                 std::move(generation_fields.prompt),
+                                 generation_fields.max_tokens,
+                                 std::move(caller_fields.key)};
+    auto work = generation_fields.stream ? generate_stream(context, std::move(call), answer)
+                                         : generate_whole(context, std::move(call), answer);
+    co_await run_until_caller_closes(context, std::move(work));
 }
 
-runtime::task<void> caller_front::generate_whole(exchange& at, router::generation_call call,
+runtime::task<void> caller_front::generate_whole(request_context& context,
+                                                 router::generation_call call,
                                                  const generation_answer& answer) {
     collecting_sink sink(scheduler_);
     const auto summary = co_await requests_.generate(std::move(call), sink);
     if (summary.has_error()) {
-        co_await refuse(at, summary.error());
+        co_await refuse(context, summary.error());
         co_return;
     }
-    count_generation(at, sink, *summary);
-    http::response whole =
-        complete_answer(at.id, ok_status, "application/json", answer.whole(sink.text(), *summary));
-    co_await at.writer.send(std::move(whole));
+    count_generation(context, sink, *summary);
+    http::response whole = complete_answer(context.id, ok_status, "application/json",
+                                           answer.whole(sink.text(), *summary));
+    co_await context.writer.send(std::move(whole));
 }
 
-runtime::task<void> caller_front::generate_stream(exchange& at, router::generation_call call,
+runtime::task<void> caller_front::generate_stream(request_context& context,
+                                                  router::generation_call call,
                                                   const generation_answer& answer) {
-    streaming_sink sink(scheduler_, answer, at.writer, stream_headers(at.id));
+    streaming_sink sink(scheduler_, answer, context.writer, stream_headers(context.id));
     const auto summary = co_await requests_.generate(std::move(call), sink);
     if (sink.caller_gone()) {
         co_return;
     }
-    if (summary.has_error() && sink.begun()) {
-        at.outcome = to_string(summary.error().code);
+    if (summary.has_error() && sink.headers_sent()) {
+        context.outcome = to_string(summary.error().code);
         co_await sink.fail(summary.error());
         co_return;
     }
     if (summary.has_error()) {
-        co_await refuse(at, summary.error());
+        co_await refuse(context, summary.error());
         co_return;
     }
-    count_generation(at, sink, *summary);
+    count_generation(context, sink, *summary);
     co_await sink.finish(*summary);
 }
 
-runtime::task<void> caller_front::answer_application(exchange& at) {
-    auto headers = parse([&] { return read_caller_headers(at.message.headers, limits_); });
+runtime::task<void> caller_front::answer_application(request_context& context) {
+    auto headers = parse([&] { return read_caller_headers(context.message.headers, limits_); });
     if (auto* failure = std::get_if<error>(&headers)) {
-        co_await turn_away(at, std::move(*failure));
+        co_await reject(context, std::move(*failure));
         co_return;
     }
-    auto& said = std::get<caller_headers>(headers);
-    const auto content_type = at.message.headers.find("Content-Type");
-    router::application_call call{at.id,
-                                  std::move(said.bearer_key),
-                                  at.message.method,
-                                  at.message.target,
+    auto& caller_fields = std::get<caller_headers>(headers);
+    const auto content_type = context.message.headers.find("Content-Type");
+    router::application_call call{context.id,
+                                  std::move(caller_fields.bearer_key),
+                                  context.message.method,
+                                  context.message.target,
                                   std::string(content_type.value_or("")),
-                                  std::move(at.message.body),
-                                  std::move(said.key)};
-    auto work = call_application(at, std::move(call));
-    co_await while_caller_waits(at, std::move(work));
+                                  std::move(context.message.body),
+                                  std::move(caller_fields.key)};
+    auto work = call_application(context, std::move(call));
+    co_await run_until_caller_closes(context, std::move(work));
 }
 
-runtime::task<void> caller_front::call_application(exchange& at, router::application_call call) {
+runtime::task<void> caller_front::call_application(request_context& context,
+                                                   router::application_call call) {
     auto reply = co_await requests_.call_application(std::move(call));
     if (reply.has_error()) {
-        co_await refuse(at, reply.error());
+        co_await refuse(context, reply.error());
         co_return;
     }
-    at.outcome = complete_outcome;
-    http::response whole = complete_answer(at.id, reply->status, std::move(reply->content_type),
-                                           std::move(reply->body));
-    co_await at.writer.send(std::move(whole));
+    context.outcome = complete_outcome;
+    http::response whole = complete_answer(context.id, reply->status,
+                                           std::move(reply->content_type), std::move(reply->body));
+    co_await context.writer.send(std::move(whole));
 }
 
-runtime::task<void> caller_front::while_caller_waits(exchange& at, runtime::task<void> work) {
+runtime::task<void> caller_front::run_until_caller_closes(request_context& context,
+                                                          runtime::task<void> work) {
     using boost::asio::experimental::awaitable_operators::operator||;
-    co_await (contained(std::move(work)) || contained(at.writer.wait_closed()));
+    co_await (log_exceptions(std::move(work)) || log_exceptions(context.writer.wait_closed()));
 }
 
-runtime::task<void> caller_front::refuse(exchange& at, router::refusal refused) {
-    at.outcome = to_string(refused.code);
-    http::response answer = refusal_answer(at.id, refused);
-    co_await at.writer.send(std::move(answer));
+runtime::task<void> caller_front::refuse(request_context& context, router::refusal refused) {
+    context.outcome = to_string(refused.code);
+    http::response answer = refusal_answer(context.id, refused);
+    co_await context.writer.send(std::move(answer));
 }
 
-runtime::task<void> caller_front::turn_away(exchange& at, error failure) {
-    at.outcome = rejected_outcome;
-    http::response answer = error_answer(at.id, failure);
-    co_await at.writer.send(std::move(answer));
+runtime::task<void> caller_front::reject(request_context& context, error failure) {
+    context.outcome = rejected_outcome;
+    http::response answer = error_answer(context.id, failure);
+    co_await context.writer.send(std::move(answer));
 }
 
-void caller_front::count_generation(exchange& at, const timed_sink& sink,
+void caller_front::count_generation(request_context& context, const timed_sink& sink,
                                     const router::generation_summary& summary) {
-    at.outcome = complete_outcome;
-    counted_.tokens(summary.tokens);
-    counted_.prompt_tokens(summary.prompt_tokens, summary.cached_tokens);
+    context.outcome = complete_outcome;
+    metrics_.tokens(summary.tokens);
+    metrics_.prompt_tokens(summary.prompt_tokens, summary.cached_tokens);
     if (sink.first_token_at()) {
-        counted_.first_token(*sink.first_token_at() - at.arrived);
+        metrics_.first_token(*sink.first_token_at() - context.arrived);
     }
 }
 
--- a/src/ferryroad/caller/caller_front.hpp
+++ b/src/ferryroad/caller/caller_front.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The callers' side: OpenAI-style generation, application routes, health and metrics.
+/// HTTP front end for callers: OpenAI-style generation, application routes, health and metrics.
 #pragma once
 
 #include "ferryroad/caller/caller_headers.hpp"
@@ -18,45 +18,46 @@
 
 namespace ferryroad::caller {
 
-/// Answers callers' HTTP requests by the request service. All collaborators outlive it. Give
-/// `handle` to an `http::server`.
+/// Answers callers' HTTP requests by passing them to the request service. Every object passed by
+/// reference to the constructor must outlive it. Pass `handle` to an `http::server` as its handler.
 class caller_front {
   public:
-    /// @param ready whether the router takes new requests, for `/readyz`.
+    /// @param ready returns whether the router accepts new requests; `/readyz` reports it.
     caller_front(runtime::scheduler& scheduler, router::request_service& requests,
                  runtime::metrics& registry, std::function<bool()> ready, tunables limits = {});
 
-    /// Answers one request. A caller that closes its connection ends the request.
+    /// Answers one request. The request is cancelled when the caller closes its connection.
     runtime::task<void> handle(http::request request, http::response_writer& writer);
 
-    /// Makes an answer that the HTTP server gives by itself say what every answer says: a
-    /// request id and that nothing ran. Give it to `http::server::complete_refusals`.
+    /// Adds the headers that every answer carries to an error answer that the HTTP server
+    /// produces itself: a request id, and the statement that nothing was executed. Pass it to
+    /// `http::server::complete_refusals`.
     void complete_refusal(http::response& answer);
 
   private:
-    /// One caller's request on its way through the front.
-    struct exchange;
+    /// The state of one request while it is being answered.
+    struct request_context;
 
     runtime::task<void> answer_probe(std::string_view path, http::response_writer& writer);
-    runtime::task<void> answer_generation(exchange& at, generation_api api);
-    runtime::task<void> generate_whole(exchange& at, router::generation_call call,
+    runtime::task<void> answer_generation(request_context& context, generation_api api);
+    runtime::task<void> generate_whole(request_context& context, router::generation_call call,
                                        const generation_answer& answer);
-    runtime::task<void> generate_stream(exchange& at, router::generation_call call,
+    runtime::task<void> generate_stream(request_context& context, router::generation_call call,
                                         const generation_answer& answer);
-    runtime::task<void> answer_application(exchange& at);
-    runtime::task<void> call_application(exchange& at, router::application_call call);
-    /// Runs `work`; a caller gone meanwhile cancels it.
-    runtime::task<void> while_caller_waits(exchange& at, runtime::task<void> work);
-    runtime::task<void> refuse(exchange& at, router::refusal refused);
-    runtime::task<void> turn_away(exchange& at, error failure);
-    void count_generation(exchange& at, const timed_sink& sink,
+    runtime::task<void> answer_application(request_context& context);
+    runtime::task<void> call_application(request_context& context, router::application_call call);
+    /// Runs `work`, and cancels it when the caller closes the connection.
+    runtime::task<void> run_until_caller_closes(request_context& context, runtime::task<void> work);
+    runtime::task<void> refuse(request_context& context, router::refusal refused);
+    runtime::task<void> reject(request_context& context, error failure);
+    void count_generation(request_context& context, const timed_sink& sink,
                           const router::generation_summary& summary);
     base::request_id next_request_id();
 
     runtime::scheduler& scheduler_;
     router::request_service& requests_;
     runtime::metrics& registry_;
-    caller_metrics counted_;
+    caller_metrics metrics_;
     std::function<bool()> ready_;
     tunables limits_;
 };
--- a/src/ferryroad/caller/caller_headers.hpp
+++ b/src/ferryroad/caller/caller_headers.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What callers say in headers.
+/// Reads the request headers that callers send.
 #pragma once
 
 #include "ferryroad/base/ids.hpp"
@@ -13,12 +13,14 @@
 
 namespace ferryroad::caller {
 
+/// Values taken from the request headers.
 struct caller_headers {
-    std::string bearer_key;
-    std::optional<base::idempotency_key> key;
+    std::string bearer_key;                    ///< From `Authorization: Bearer KEY`.
+    std::optional<base::idempotency_key> key;  ///< From `Idempotency-Key`; empty when absent.
 };
 
-/// Errors are LEAF error objects of type `caller::error`.
+/// Reads and checks the headers. Errors are LEAF error objects of type `caller::error`:
+/// `missing_key` without a bearer key, `invalid_header` for a malformed idempotency key.
 boost::leaf::result<caller_headers> read_caller_headers(const http::header_list& headers,
                                                         const tunables& limits);
 
--- a/src/ferryroad/caller/caller_metrics.cpp
+++ b/src/ferryroad/caller/caller_metrics.cpp
@@ -21,8 +21,8 @@
       first_token_(registry.histogram_of("ferryroad_first_token_seconds",
                                          "Time from a request's arrival to its first token.",
                                          time_bounds())),
-      unread_(registry.counter_of("ferryroad_requests_unreadable_total",
-                                  "Malformed or oversized requests that the server refused.")),
+      unreadable_(registry.counter_of("ferryroad_requests_unreadable_total",
+                                      "Malformed or oversized requests that the server refused.")),
       tokens_(registry.counter_of("ferryroad_tokens_total", "Tokens answered.")),
       prompt_tokens_(
           registry.counter_of("ferryroad_prompt_tokens_total", "Prompt tokens of answers.")),
--- a/src/ferryroad/caller/event_stream.hpp
+++ b/src/ferryroad/caller/event_stream.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Server-sent events.
+/// Formats server-sent events.
 #pragma once
 
 #include <string>
@@ -7,7 +7,8 @@
 
 namespace ferryroad::caller {
 
-/// @param data one line. @return one event.
+/// @param data must not contain a line break.
+/// @return one server-sent event with that data.
 inline std::string data_event(std::string_view data) {
     std::string event = "data: ";
     event += data;
--- a/src/ferryroad/caller/generation_answer.cpp
+++ b/src/ferryroad/caller/generation_answer.cpp
@@ -15,14 +15,14 @@
 
 namespace {
 
-/// What differs between the two interfaces.
-struct api_words {
+/// The texts that differ between the completions and the chat interface.
+struct api_format {
     std::string_view id_prefix;
     std::string_view whole_object;
     std::string_view chunk_object;
 };
 
-api_words words_of(generation_api api) {
+api_format format_of(generation_api api) {
     if (api == generation_api::chat) {
         return {"chatcmpl-", "chat.completion", "chat.completion.chunk"};
     }
@@ -46,9 +46,9 @@
     return {{"role", "assistant"}, {"content", text}};
 }
 
-/// @return the body around one choice.
-json::object frame(std::string_view id, std::string_view object, std::int64_t created,
-                   const base::model_name& model, json::object choice) {
+/// @return the JSON object of an answer or a chunk, with one choice.
+json::object completion_object(std::string_view id, std::string_view object, std::int64_t created,
+                               const base::model_name& model, json::object choice) {
     json::object body;
     body["id"] = id;
     body["object"] = object;
@@ -76,7 +76,7 @@
 generation_answer::generation_answer(generation_api api, const base::request_id& request,
                                      base::model_name model, std::int64_t created)
     : api_(api),
-      id_(std::string(words_of(api).id_prefix) + request.value),
+      id_(std::string(format_of(api).id_prefix) + request.value),
       model_(std::move(model)),
       created_(created) {}
 
@@ -87,7 +87,7 @@
     json::object choice =
         choice_of(chat ? "message" : "text", std::move(content), to_string(summary.reason));
     json::object body =
-        frame(id_, words_of(api_).whole_object, created_, model_, std::move(choice));
+        completion_object(id_, format_of(api_).whole_object, created_, model_, std::move(choice));
     body["usage"] = usage_of(summary);
     body["ferryroad"] = complete();
     return http::to_text(body);
@@ -101,7 +101,7 @@
     }
     json::object choice = choice_of(chat ? "delta" : "text", std::move(content), nullptr);
     return data_event(http::to_text(
-        frame(id_, words_of(api_).chunk_object, created_, model_, std::move(choice))));
+        completion_object(id_, format_of(api_).chunk_object, created_, model_, std::move(choice))));
 }
 
 std::string generation_answer::end(const router::generation_summary& summary) const {
@@ -110,7 +110,7 @@
     json::object choice =
         choice_of(chat ? "delta" : "text", std::move(content), to_string(summary.reason));
     json::object body =
-        frame(id_, words_of(api_).chunk_object, created_, model_, std::move(choice));
+        completion_object(id_, format_of(api_).chunk_object, created_, model_, std::move(choice));
     body["usage"] = usage_of(summary);
     body["ferryroad"] = complete();
     return data_event(http::to_text(body)) + data_event("[DONE]");
--- a/src/ferryroad/caller/generation_body.cpp
+++ b/src/ferryroad/caller/generation_body.cpp
@@ -24,7 +24,7 @@
     return leaf::new_error(error{error_code::invalid_field, std::move(message)});
 }
 
-/// Content is a string or a list of text parts.
+/// Reads a message's content: a string, or a list of text parts, which are concatenated.
 leaf::result<std::string> read_content(const json::value* content, const std::string& path) {
     if (content && content->is_string()) {
         return std::string(content->get_string());
--- a/src/ferryroad/caller/generation_body.hpp
+++ b/src/ferryroad/caller/generation_body.hpp
@@ -15,8 +15,10 @@
 
 namespace ferryroad::caller {
 
+/// The two generation interfaces: `/v1/completions` and `/v1/chat/completions`.
 enum class generation_api { completions, chat };
 
+/// The fields of a generation request that the router uses.
 struct generation_body {
     base::model_name model;
     base::adapter_name adapter;
@@ -25,8 +27,8 @@
     bool stream = false;
 };
 
-/// Errors are LEAF error objects of type `caller::error`. Fields that ferryroad doesn't know
-/// are left alone, as OpenAI clients send many.
+/// Parses and checks a request body. Unknown fields are ignored, because OpenAI clients send
+/// many. Errors are LEAF error objects of type `caller::error`.
 boost::leaf::result<generation_body> read_generation_body(generation_api api, std::string_view body,
                                                           const tunables& limits);
 
--- a/src/ferryroad/caller/generation_sinks.cpp
+++ b/src/ferryroad/caller/generation_sinks.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-bool timed_sink::note_token() {
+bool timed_sink::record_token() {
     const bool first = !first_token_at_.has_value();
     if (first) {
         first_token_at_ = clock_.now();
@@ -21,7 +21,7 @@
 }
 
 runtime::task<bool> collecting_sink::accept(engine::stream_token token) {
-    note_token();
+    record_token();
     text_ += token.text;
     co_return true;
 }
@@ -31,8 +31,8 @@
     : timed_sink(clock), answer_(answer), writer_(writer), headers_(std::move(headers)) {}
 
 runtime::task<bool> streaming_sink::accept(engine::stream_token token) {
-    const bool first = note_token();
-    const bool open = co_await begin();
+    const bool first = record_token();
+    const bool open = co_await send_headers();
     if (!open) {
         co_return false;
     }
@@ -42,7 +42,7 @@
 }
 
 runtime::task<void> streaming_sink::finish(router::generation_summary summary) {
-    const bool open = co_await begin();
+    const bool open = co_await send_headers();
     if (!open) {
         co_return;
     }
@@ -58,11 +58,11 @@
     co_await write(std::move(last));
 }
 
-runtime::task<bool> streaming_sink::begin() {
-    if (begun_) {
+runtime::task<bool> streaming_sink::send_headers() {
+    if (headers_sent_) {
         co_return !caller_gone_;
     }
-    begun_ = true;
+    headers_sent_ = true;
     http::header_list headers = headers_;
     const auto sent = co_await writer_.begin_stream(ok_status, std::move(headers));
     caller_gone_ = sent.has_error();
--- a/src/ferryroad/caller/generation_sinks.hpp
+++ b/src/ferryroad/caller/generation_sinks.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Where a generation's tokens go: into one answer, or out as server-sent events.
+/// Token sinks of the caller front end: one collects the text, one streams server-sent events.
 #pragma once
 
 #include "ferryroad/caller/generation_answer.hpp"
@@ -11,23 +11,23 @@
 
 namespace ferryroad::caller {
 
-/// Notes when the first token came.
+/// Records when the first token arrived.
 class timed_sink : public router::token_sink {
   public:
-    /// @param clock outlives the sink.
+    /// @param clock must outlive the sink.
     explicit timed_sink(const base::clock& clock) : clock_(clock) {}
     const std::optional<base::monotonic_time>& first_token_at() const { return first_token_at_; }
 
   protected:
-    /// @return whether this is the first token.
-    bool note_token();
+    /// Records a token. @return whether it is the first one.
+    bool record_token();
 
   private:
     const base::clock& clock_;
     std::optional<base::monotonic_time> first_token_at_;
 };
 
-/// Keeps the whole text.
+/// Collects the text of all tokens, for an answer that isn't streamed.
 class collecting_sink final : public timed_sink {
   public:
     using timed_sink::timed_sink;
@@ -38,33 +38,34 @@
     std::string text_;
 };
 
-/// Writes each token at once. The answer's headers go out with the first token, so that a
-/// refusal before it still has its own status.
+/// Writes each token as it arrives. The headers of the answer are sent with the first token, so
+/// that a refusal before it can still be answered with its own HTTP status.
 class streaming_sink final : public timed_sink {
   public:
-    /// @param answer and `writer` outlive the sink. @param headers of the stream.
+    /// @param answer, `writer` and `clock` must outlive the sink.
+    /// @param headers are sent with status 200 before the first event.
     streaming_sink(const base::clock& clock, const generation_answer& answer,
                    http::response_writer& writer, http::header_list headers);
 
     runtime::task<bool> accept(engine::stream_token token) override;
-    /// Whether headers have gone out.
-    bool begun() const { return begun_; }
-    /// Whether a write failed: nobody reads any more.
+    /// @return whether the headers have been sent.
+    bool headers_sent() const { return headers_sent_; }
+    /// @return whether a write failed, that is, the caller has closed the connection.
     bool caller_gone() const { return caller_gone_; }
-    /// Ends a whole stream.
+    /// Writes the events that end a complete stream, and ends the stream.
     runtime::task<void> finish(router::generation_summary summary);
-    /// Writes the event for a stream that can't be finished and leaves its end open, so that
-    /// the connection is closed.
+    /// Writes an error event and leaves the stream without its end, so that the server closes the
+    /// connection and the caller can tell that the answer is incomplete.
     runtime::task<void> fail(router::refusal refused);
 
   private:
-    runtime::task<bool> begin();
+    runtime::task<bool> send_headers();
     runtime::task<bool> write(std::string chunk);
 
     const generation_answer& answer_;
     http::response_writer& writer_;
     http::header_list headers_;
-    bool begun_ = false;
+    bool headers_sent_ = false;
     bool caller_gone_ = false;
 };
 
--- a/src/ferryroad/caller/refusal_answer.cpp
+++ b/src/ferryroad/caller/refusal_answer.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-/// One row for each refusal code: its name, HTTP status and OpenAI's type of error.
+/// One row for each refusal code: its name, HTTP status and OpenAI error type.
 struct refusal_row {
     refusal_code code;
     std::string_view name;
@@ -82,7 +82,8 @@
     return body;
 }
 
-/// Whole seconds, rounded up, at least 1: a caller never comes back too early.
+/// Formats Retry-After in whole seconds, rounded up and at least 1, so that a caller never retries
+/// too early.
 std::string retry_after_seconds(base::duration wait) {
     const auto seconds = std::chrono::ceil<std::chrono::seconds>(wait).count();
     return std::to_string(std::max<std::int64_t>(seconds, 1));
--- a/test/caller/contract_test.cpp
+++ b/test/caller/contract_test.cpp
@@ -1,4 +1,4 @@
-/// What callers get, answer by answer: status, code, execution and when to come back.
+/// Checks the answers that callers get: status, error code, execution header and Retry-After.
 #include "test/caller/front_fixture.hpp"
 
 #include <criterion/criterion.h>
@@ -18,7 +18,7 @@
     std::string bytes;
     fault given;
     const char* status;
-    const char* code;  ///< Empty: no error.
+    const char* code;  ///< Expected `error.code`; empty: no error.
     const char* execution;
     const char* retry_after;  ///< Empty: none; *: any.
 };
@@ -138,7 +138,7 @@
     }
 }
 
-/// The parts of one answer.
+/// An HTTP answer split into its parts.
 struct answer_parts {
     std::string status;
     std::string head;
@@ -153,7 +153,7 @@
     return {answer.substr(9, 3), answer.substr(0, gap + 2), answer.substr(gap + 4)};
 }
 
-/// @return the value of a header, or nothing.
+/// @return the value of a header, or nothing where it is absent.
 std::string header_of(const answer_parts& answer, const std::string& name) {
     const std::size_t begin = answer.head.find("\r\n" + name + ": ");
     if (begin == std::string::npos) {
--- a/test/caller/front_fixture.hpp
+++ b/test/caller/front_fixture.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Scaffolding: a caller front on a loopback HTTP server, over a scripted router.
+/// Test fixture: a caller front end on a loopback HTTP server, with a scripted request service.
 #pragma once
 
 #include "ferryroad/caller/caller_front.hpp"
@@ -37,7 +37,7 @@
             [this](http::response& answer) { front.complete_refusal(answer); });
     }
 
-    /// @return all that came for `bytes` until the server closed the connection.
+    /// Sends `bytes`. @return everything received until the server closed the connection.
     std::string exchange(const std::string& bytes) {
         std::string answer;
         const auto body = [&]() -> runtime::task<void> {
@@ -51,7 +51,7 @@
     }
 };
 
-/// @return one request that asks for the connection to be closed after it.
+/// @return a request with `Connection: close`.
 inline std::string request_text(const std::string& line, const std::string& headers,
                                 const std::string& body) {
     return line + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n" + headers +
--- a/test/caller/stream_test.cpp
+++ b/test/caller/stream_test.cpp
@@ -1,4 +1,5 @@
-/// Streams of server-sent events: whole, refused, broken and abandoned; and the probes.
+/// Streams of server-sent events that complete, are refused, fail part-way or are abandoned by the
+/// caller; and the health, readiness and metrics paths.
 #include "test/caller/front_fixture.hpp"
 
 #include <criterion/criterion.h>
@@ -10,7 +11,7 @@
 
 namespace {
 
-/// @return the data of each event, in order. Chunk sizes of the transfer are left out.
+/// @return the data of each event, in order, without the chunk sizes of the transfer encoding.
 std::vector<std::string> events_of(const std::string& answer) {
     std::vector<std::string> events;
     std::size_t at = answer.find("data: ");
@@ -62,7 +63,8 @@
     cr_assert(is_properly_ended(answer));
 }
 
-/// Reads two tokens of a stream, closes, and waits until the router is done with it.
+/// Reads two tokens of a stream, closes the connection, and waits until the router has ended the
+/// request.
 runtime::task<void> leave_after_two_tokens(test::caller_fixture& fixture) {
     const std::string request = completion_text(R"(,"stream":true)");
     const std::string second_token = "t1 ";
