--- a/src/ferryroad/catalog/codec.hpp
+++ b/src/ferryroad/catalog/codec.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// JSON form of the catalog: the desired-state file that operators write, and single
-/// resources as revisions carry them.
+/// JSON encoding of the catalog: the desired-state file that operators write, and the single
+/// resources that configuration revisions contain.
 #pragma once
 
 #include "ferryroad/catalog/errors.hpp"
@@ -17,7 +17,7 @@
 
 namespace leaf = boost::leaf;
 
-/// Resources as canonical JSON: every field in a fixed order, no white space. Equal
+/// Resources in canonical JSON: all fields in a fixed order, without white space, so that equal
 /// resources have equal text.
 using resource_texts = std::map<resource_key, std::string>;
 
@@ -35,12 +35,12 @@
 std::string encode(const pool& value);
 std::string encode(const route& value);
 
-/// Sets one resource from its canonical text. Fields that this version doesn't know are
-/// passed over, as a newer router may have written them; references aren't checked.
-/// @return `invalid_catalog` where key or text make no sense; `declared` is then unchanged.
+/// Adds or replaces one resource, given as canonical JSON. Unknown fields are ignored, because a
+/// router of a newer version may have written them. References aren't checked.
+/// @return `invalid_catalog` where the key or the text is invalid; `declared` is then unchanged.
 leaf::result<void> put_resource(catalog& declared, const resource_key& key, std::string_view text);
 
-/// Takes one resource away; an unknown key changes nothing.
+/// Removes one resource; an unknown key is ignored.
 void remove_resource(catalog& declared, const resource_key& key);
 
 }  // namespace ferryroad::catalog
--- a/src/ferryroad/catalog/decode.cpp
+++ b/src/ferryroad/catalog/decode.cpp
@@ -113,7 +113,7 @@
     return value;
 }
 
-/// Reads one list of the desired state into `into`, whose keys must come once each.
+/// Reads one list of the desired state into `into` and reports names that occur more than once.
 template <typename Resource, typename Map>
 void read_list(field_reader& state, std::string_view list_name, resource_kind kind,
                Resource (*read)(field_reader&), Map& into, std::vector<error>& faults) {
@@ -123,12 +123,12 @@
     }
     std::size_t index = 0;
     for (const json::value& value : *values) {
-        const std::string place = std::string(list_name) + "[" + std::to_string(index++) + "]";
+        const std::string position = std::string(list_name) + "[" + std::to_string(index++) + "]";
         const json::object* object = value.if_object();
         const json::value* name = object == nullptr ? nullptr : object->if_contains("name");
         const bool named = name != nullptr && name->is_string();
         const std::string resource =
-            named ? make_key(kind, std::string_view(name->get_string())).value : place;
+            named ? make_key(kind, std::string_view(name->get_string())).value : position;
         field_reader fields(resource, value, faults);
         Resource declared = read(fields);
         fields.refuse_unknown_fields();
@@ -140,7 +140,7 @@
     }
 }
 
-/// Reads one resource from its stored text; faults are the caller's to look at.
+/// Reads one stored resource. Appends its faults to `faults`, which the caller must check.
 template <typename Resource>
 Resource read_stored(const resource_key& key, const json::value& value,
                      Resource (*read)(field_reader&), std::vector<error>& faults) {
--- a/src/ferryroad/catalog/difference.hpp
+++ b/src/ferryroad/catalog/difference.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What changes from one catalog to another.
+/// Differences between two catalogs.
 #pragma once
 
 #include "ferryroad/catalog/codec.hpp"
@@ -11,16 +11,16 @@
 
 namespace ferryroad::catalog {
 
-/// One resource that isn't the same on both sides; texts are canonical JSON.
+/// One resource that differs between two catalogs. Its texts are canonical JSON.
 struct difference {
     resource_key resource;
-    std::optional<std::string> before;  ///< Nothing where it was added.
-    std::optional<std::string> after;   ///< Nothing where it was removed.
+    std::optional<std::string> before;  ///< Empty where it was added.
+    std::optional<std::string> after;   ///< Empty where it was removed.
 
     friend bool operator==(const difference&, const difference&) = default;
 };
 
-/// @return what differs, by resource key.
+/// @return the differences, ordered by resource key.
 std::vector<difference> find_differences(const resource_texts& before, const resource_texts& after);
 std::vector<difference> find_differences(const catalog& before, const catalog& after);
 
--- a/src/ferryroad/catalog/encode.cpp
+++ b/src/ferryroad/catalog/encode.cpp
@@ -13,7 +13,7 @@
 
 namespace json = boost::json;
 
-/// Whole numbers without an exponent, as people write them.
+/// Writes whole numbers without an exponent, for readability.
 json::value number(double value) {
     constexpr double largest_exact = 9007199254740992.0;
     if (value == std::floor(value) && std::abs(value) < largest_exact) {
@@ -82,7 +82,7 @@
     }
 }
 
-/// One resource a line: small enough to read and to compare with a line tool.
+/// Writes one resource per line, so that files can be read and compared with `diff`.
 template <typename Map>
 std::string list_text(std::string_view list_name, const Map& declared) {
     std::string text = "  \"" + std::string(list_name) + "\": [";
--- a/src/ferryroad/catalog/errors.hpp
+++ b/src/ferryroad/catalog/errors.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Errors of the catalog: each names the resource, the field, what stood there and what was
-/// expected, so that an operator can mend the file without reading code.
+/// Errors of the catalog. Each names the resource, the field, the value found and the values
+/// accepted, so that an operator can correct the file.
 #pragma once
 
 #include <string>
@@ -14,16 +14,16 @@
     unknown_field,
     wrong_type,
     invalid_value,
-    duplicate,         ///< Two resources share what must be unique.
+    duplicate,         ///< Two resources share a value that must be unique.
     unknown_reference  ///< Names a resource that isn't declared.
 };
 
-/// One fault in one field.
+/// An error in one field.
 struct error {
     error_code code{};
     std::string resource;  ///< Such as "route/alerts", or "tenants[2]" where it has no name.
-    std::string field;     ///< Empty where the resource as a whole is at fault.
-    std::string value;     ///< What stood there, as JSON; empty where nothing did.
+    std::string field;     ///< Empty where the error concerns the whole resource.
+    std::string value;     ///< The value found, as JSON; empty where missing.
     std::string expected;
 
     /// @return such as: route/alerts: field "pool": value "x": expected the name of a pool
@@ -32,11 +32,11 @@
     friend bool operator==(const error&, const error&) = default;
 };
 
-/// Error object of `leaf::result` in this layer: every fault found, at least one.
+/// LEAF error object of this layer: all faults found, at least one.
 struct invalid_catalog {
     std::vector<error> faults;
 
-    /// @return one fault a line.
+    /// @return the faults, one per line.
     std::string to_string() const;
 };
 
--- a/src/ferryroad/catalog/field_reader.hpp
+++ b/src/ferryroad/catalog/field_reader.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Reads the fields of one resource's JSON object and collects every fault.
+/// Reads the fields of a resource's JSON object and collects all faults.
 #pragma once
 
 #include "ferryroad/catalog/errors.hpp"
@@ -22,15 +22,16 @@
     double greatest = 0;
 };
 
-/// What becomes of a field that no read asked for.
+/// Treatment of fields that have not been read.
 enum class unknown_fields { refuse, ignore };
 
-/// Reads straight down: a fault gives the fallback and is kept in the list given. Borrows
-/// the value and the list.
+/// Reads fields without stopping at errors: a missing or invalid field yields the fallback, and the
+/// fault is appended to the list. The JSON value and the list must outlive the reader.
 class field_reader {
   public:
-    /// @param resource name of the resource in faults. @param value need not be an object:
-    /// that is a fault and every read gives its fallback.
+    /// @param resource the name by which faults refer to the resource.
+    /// @param value the resource. If it isn't an object, that is a fault, and every read returns
+    /// its fallback.
     field_reader(std::string resource, const boost::json::value& value, std::vector<error>& faults);
 
     std::string required_text(std::string_view name);
@@ -44,12 +45,12 @@
     bool has(std::string_view name) const;
     bool holds_text(std::string_view name) const;
 
-    /// Records a fault that the caller found itself, with the field's value as it stands.
+    /// Adds a fault that the caller found. The field's value is filled in.
     void fail(error_code code, std::string_view name, std::string expected);
-    /// Call after the last read: every other field is a fault.
+    /// Adds a fault for each field that has not been read. Call it after the last read.
     void refuse_unknown_fields();
     const std::string& resource() const { return resource_; }
-    /// Names the resource from here on, once its name is known.
+    /// Changes the name by which later faults refer to the resource.
     void rename(std::string resource) { resource_ = std::move(resource); }
 
   private:
--- a/src/ferryroad/catalog/limits.hpp
+++ b/src/ferryroad/catalog/limits.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Bounds of what operators may declare.
+/// Limits of the values that operators may declare.
 #pragma once
 
 #include "ferryroad/catalog/field_reader.hpp"
--- a/src/ferryroad/catalog/names.hpp
+++ b/src/ferryroad/catalog/names.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Names of enumerators in files and texts.
+/// Converts enumerators to and from their names in files and messages.
 #pragma once
 
 #include "ferryroad/catalog/types.hpp"
--- a/src/ferryroad/catalog/resource_key.hpp
+++ b/src/ferryroad/catalog/resource_key.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Name of a declared resource over all kinds: `tenant/NAME`, `model/NAME`, `pool/NAME` or
-/// `route/NAME`. Revisions of the configuration carry resources under these keys.
+/// Key of a declared resource, unique across all kinds: `tenant/NAME`, `model/NAME`, `pool/NAME` or
+/// `route/NAME`. Configuration revisions refer to resources by these keys.
 #pragma once
 
 #include "ferryroad/base/strong_id.hpp"
@@ -15,7 +15,7 @@
 
 using resource_key = base::strong_id<struct catalog_resource_key_tag, std::string>;
 
-/// A key taken apart.
+/// The kind and the name in a resource key.
 struct resource_name {
     resource_kind kind{};
     std::string name;
@@ -26,7 +26,7 @@
 
 resource_key make_key(resource_kind kind, std::string_view name);
 
-/// @return nothing where the key isn't `KIND/NAME` of a known kind.
+/// @return kind and name; nothing where the key isn't `KIND/NAME` with a known kind.
 std::optional<resource_name> split_key(const resource_key& key);
 
 }  // namespace ferryroad::catalog
--- a/src/ferryroad/catalog/validation.cpp
+++ b/src/ferryroad/catalog/validation.cpp
@@ -57,7 +57,7 @@
     return result;
 }
 
-/// Faults of one resource.
+/// Collects the faults of one resource.
 class fault_list {
   public:
     fault_list(resource_kind kind, std::string_view name, std::vector<error>& faults)
@@ -154,7 +154,7 @@
 
 bool share_a_method(const route& first, const route& second) {
     if (first.methods.empty() || second.methods.empty()) {
-        return true;  // A route without methods takes any.
+        return true;  // A route without methods accepts all methods.
     }
     return std::find_first_of(first.methods.begin(), first.methods.end(), second.methods.begin(),
                               second.methods.end()) != first.methods.end();
--- a/src/ferryroad/catalog/validation.hpp
+++ b/src/ferryroad/catalog/validation.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Checks a whole catalog: values, uniqueness and references (route to pool to model).
+/// Checks a catalog: values, uniqueness and references (route to pool, pool to model).
 #pragma once
 
 #include "ferryroad/catalog/errors.hpp"
@@ -11,10 +11,10 @@
 
 namespace ferryroad::catalog {
 
-/// @return every fault, in the order of tenants, models, pools, routes; empty where valid.
+/// @return all faults, ordered by tenants, models, pools, routes; empty where the catalog is valid.
 std::vector<error> find_faults(const catalog& declared);
 
-/// @return `invalid_catalog` where there is a fault.
+/// @return `invalid_catalog` with all faults where there are any.
 boost::leaf::result<void> validate(const catalog& declared);
 
 }  // namespace ferryroad::catalog
--- a/src/ferryroad/settings/errors.hpp
+++ b/src/ferryroad/settings/errors.hpp
@@ -1,17 +1,18 @@
 /// @file
-/// Errors of reading settings: each names the place, so that it can be mended at once.
+/// Errors found while reading settings. Each names the source and the field, so that the operator
+/// can find the setting to correct.
 #pragma once
 
 #include <string>
 
 namespace ferryroad::settings {
 
-/// A setting that was refused.
+/// One invalid, unknown or missing setting.
 struct error {
     std::string source;    ///< The file, or "command line".
-    std::string field;     ///< Empty where the whole file is at fault.
-    std::string value;     ///< As found, empty where missing.
-    std::string expected;  ///< In words.
+    std::string field;     ///< Empty where the error concerns the whole file.
+    std::string value;     ///< The value found, as JSON; empty where missing.
+    std::string expected;  ///< Description of the accepted values.
 
     /// @return `SOURCE: field "x": value V: expected ...`.
     std::string to_string() const;
--- a/src/ferryroad/settings/field.cpp
+++ b/src/ferryroad/settings/field.cpp
@@ -51,7 +51,7 @@
     };
 }
 
-/// Bounds that also keep the number inside its type.
+/// Narrows bounds to the range of the target's type.
 template <typename Integer>
 range clamp_to_type(range bounds) {
     const auto most = static_cast<double>(std::numeric_limits<Integer>::max());
--- a/src/ferryroad/settings/field.hpp
+++ b/src/ferryroad/settings/field.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One setting: its name, its documentation and how a value is read into its target.
+/// One setting: its name, its documentation, and the function that stores a value in its target.
 #pragma once
 
 #include "ferryroad/base/endpoint.hpp"
@@ -17,6 +17,7 @@
 
 namespace ferryroad::settings {
 
+/// Whether a setting may be omitted.
 enum class presence { optional, required };
 
 /// Inclusive bounds of a number (of milliseconds, for durations).
@@ -25,19 +26,20 @@
     double most;
 };
 
-/// What a reader expected where it could not take a value; a LEAF error object.
+/// LEAF error object of a `value_reader`: a description of the values that it accepts.
 struct expectation {
     std::string text;
 };
 
-/// Takes a JSON value into the bound target, or fails with an `expectation`.
+/// Stores a JSON value in the bound target, or fails with an `expectation`.
 using value_reader = std::function<boost::leaf::result<void>(const boost::json::value&)>;
 
+/// Declaration of one setting.
 struct field {
-    std::string name;         ///< In the file: snake_case.
+    std::string name;         ///< Name in the settings file, in snake_case.
     std::string description;  ///< One sentence, with units.
-    std::string type;         ///< For the reference: "IP:PORT", "milliseconds", ...
-    std::string initial;      ///< Default as JSON text.
+    std::string type;     ///< As the settings reference shows it: "IP:PORT", "milliseconds", ...
+    std::string initial;  ///< Default as JSON text.
     presence need = presence::optional;
     value_reader read;
 
@@ -45,7 +47,8 @@
     std::string flag() const;
 };
 
-/// Makes a field that reads into `target`, which must outlive it.
+/// Creates a field whose values are stored in `target`, which must outlive it. The value that
+/// `target` has at the call is documented as the default.
 field make_field(std::string name, std::string description, std::string& target);
 field make_field(std::string name, std::string description, bool& target);
 field make_field(std::string name, std::string description, double& target, range bounds);
@@ -56,12 +59,13 @@
 field make_field(std::string name, std::string description, base::endpoint& target);
 field make_field(std::string name, std::string description, std::vector<base::endpoint>& target);
 field make_field(std::string name, std::string description, std::vector<std::string>& target);
-/// @return what was expected, where a list can't be used; else nothing.
+/// Checks a list. @return a description of the accepted values where the list is invalid, else
+/// nothing.
 using list_check = std::function<std::optional<std::string>(const std::vector<std::string>&)>;
-/// A list of texts that must pass `check`.
+/// Creates a field for a list of strings that `check` must accept.
 field make_checked_list(std::string name, std::string description, std::vector<std::string>& target,
                         list_check check);
-/// Text that must be one of `choices`.
+/// Creates a field for a string that must be one of `choices`.
 field make_choice(std::string name, std::string description, std::string& target,
                   std::vector<std::string> choices);
 
--- a/src/ferryroad/settings/file_watch.hpp
+++ b/src/ferryroad/settings/file_watch.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Tells when a settings file was changed, also where nobody sends a signal.
+/// Detects changes of a settings file by polling, for deployments that send no reload signal.
 #pragma once
 
 #include <cstdint>
@@ -9,13 +9,13 @@
 
 namespace ferryroad::settings {
 
-/// Compares a file's time of change and size with those last seen. Not thread-safe.
+/// Compares a file's modification time and size with those at the last check. Not thread-safe.
 class file_watch {
   public:
-    /// What is there now counts as seen.
+    /// The file's present state is the baseline of the first check.
     explicit file_watch(std::string file) : m_file(std::move(file)) { changed(); }
 
-    /// @return whether the file differs from what was last seen; an unreadable one does not.
+    /// @return whether the file has changed since the last check; false where it can't be read.
     bool changed() {
         std::error_code failure;
         const auto time = std::filesystem::last_write_time(m_file, failure);
--- a/src/ferryroad/settings/schema.cpp
+++ b/src/ferryroad/settings/schema.cpp
@@ -20,14 +20,14 @@
 
 constexpr const char* command_line_source = "command line";
 
-/// A flag's text is JSON where it parses as such (numbers, lists), else a plain text.
+/// Parses a flag's text as JSON (numbers, lists); text that isn't JSON is taken as a string.
 json::value flag_value(const std::string& text) {
     boost::system::error_code failure;
     json::value parsed = json::parse(text, failure);
     return failure ? json::value(text) : parsed;
 }
 
-/// @return the refusal, or nothing where the value was taken.
+/// Stores the value in the field's target. @return the error, or nothing on success.
 std::optional<error> take(const field& target, const std::string& source,
                           const json::value& value) {
     return leaf::try_handle_all(
@@ -45,7 +45,8 @@
         });
 }
 
-/// Text settings take a flag that looks like a number (a version "7", say) as it stands.
+/// Stores a flag's value. A string setting also accepts text that parses as a number, such as the
+/// version "7".
 std::optional<error> take_flag(const field& target, const std::string& text) {
     const auto refused = take(target, command_line_source, flag_value(text));
     return refused ? take(target, command_line_source, json::value(text)) : refused;
--- a/src/ferryroad/settings/schema.hpp
+++ b/src/ferryroad/settings/schema.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// A program's settings: declared once, read from a JSON file and from flags, checked whole
-/// before anything starts, printed as the settings reference.
+/// A program's settings: declared once, read from a JSON file and from command-line flags, checked
+/// completely before the program starts, and printed as the settings reference.
 #pragma once
 
 #include "ferryroad/settings/errors.hpp"
@@ -16,16 +16,18 @@
 
 namespace ferryroad::settings {
 
-/// Exit code of a program whose settings were refused.
+/// Exit code of a program whose settings are invalid.
 inline constexpr int exit_bad_settings = 2;
 
-/// What the program does next: go on, or end with `exit_code` (help, check, refusal).
+/// Result of reading the settings. The program continues where `exit_code` is empty, else it ends
+/// with that code (after `--help`, `--check`, `--print-schema` or an invalid setting).
 struct outcome {
     std::optional<int> exit_code;
-    std::string file;  ///< That settings came from; empty where they came from flags alone.
+    std::string file;  ///< The settings file; empty where only flags were given.
 };
 
-/// Declares a program's settings. Targets outlive the schema. Not thread-safe.
+/// Declares and reads a program's settings. The targets of its fields must outlive it. Not
+/// thread-safe.
 class schema {
   public:
     schema(std::string program, std::string description);
@@ -57,23 +59,24 @@
                need);
     }
 
-    /// @param check returns what was expected where a list can't be used.
+    /// @param check returns a description of the accepted values where a list is invalid.
     void add_checked(std::string name, std::string description, std::vector<std::string>& target,
                      list_check check) {
         append(make_checked_list(std::move(name), std::move(description), target, std::move(check)),
                presence::optional);
     }
 
-    /// Reads `--settings FILE`, then the flags over it; handles `--help`, `--check` and
-    /// `--print-schema`; prints the first refusal on standard error.
+    /// Reads `--settings FILE`, then the flags, which override the file. Handles `--help`,
+    /// `--check` and `--print-schema`. Prints the first error to standard error.
     outcome read(int argument_count, const char* const* arguments);
 
-    /// Takes one file's object: every field known, of its type and in its range, none missing.
-    /// @return the first refusal, or nothing.
+    /// Stores the values of a JSON object in their targets, up to the first that is unknown, of
+    /// the wrong type or out of range. Doesn't check for missing fields.
+    /// @return the first error, or nothing.
     std::optional<error> apply(const std::string& source, const boost::json::object& values);
 
-    /// Reads a file again, as a whole: every field known and sound, none required missing.
-    /// @return the first refusal, or nothing.
+    /// Reads a settings file again and checks it completely, required fields included.
+    /// @return the first error, or nothing.
     std::optional<error> load(const std::string& file);
 
     /// @return the reference of this program's settings as a Markdown table.
@@ -84,7 +87,8 @@
   private:
     using given_fields = std::set<std::string>;
 
-    /// Takes a file's fields and notes which it gave. @return the first refusal, or nothing.
+    /// Stores a file's values and adds the names of its fields to `given`.
+    /// @return the first error, or nothing.
     std::optional<error> take_file(const std::string& file, given_fields& given);
     std::optional<error> first_missing(const std::string& source, const given_fields& given) const;
     void append(field added, presence need);
--- a/test/catalog/codec_test.cpp
+++ b/test/catalog/codec_test.cpp
@@ -1,4 +1,4 @@
-/// The desired-state file: what is read, what is refused and with which words.
+/// Checks how desired-state files are read, and the errors for invalid ones.
 #include "ferryroad/catalog/codec.hpp"
 
 #include "ferryroad/base/digest.hpp"
--- a/test/settings/schema_test.cpp
+++ b/test/settings/schema_test.cpp
@@ -1,4 +1,5 @@
-/// A bad setting is refused with its source, field, value and what was expected.
+/// Checks that an invalid setting is reported with its source, field, value and the accepted
+/// values.
 #include "ferryroad/settings/schema.hpp"
 
 #include "ferryroad/base/ids.hpp"
