--- a/apps/ferry_platform.cpp
+++ b/apps/ferry_platform.cpp
@@ -1,4 +1,4 @@
-/// The program ferry-platform: a stand-in of the platform's services.
+/// The program ferry-platform: an emulator of the platform's services.
 #include "emulator/platform/platform_program.hpp"
 
 int main(int argument_count, char** arguments) {
--- a/apps/ferrybench.cpp
+++ b/apps/ferrybench.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// ferrybench: load, audit and experiments. Subcommands are in bench/commands/.
+/// The program ferrybench: load generation, audits and simulations. Subcommands are in
+/// bench/commands/.
 #include "bench/commands/commands.hpp"
 
 #include <CLI/CLI.hpp>
--- a/apps/ferryctl.cpp
+++ b/apps/ferryctl.cpp
@@ -1,4 +1,4 @@
-/// ferryctl: the operators' command line.
+/// The program ferryctl: command-line client for operators.
 #include "ferryroad/ctl/command_line.hpp"
 #include "ferryroad/ctl/commands.hpp"
 
--- a/apps/ferryroad.cpp
+++ b/apps/ferryroad.cpp
@@ -1,4 +1,4 @@
-/// The router daemon.
+/// The program ferryroad: the router daemon.
 #include "ferryroad/daemon/daemon.hpp"
 #include "ferryroad/launcher/product_entry.hpp"
 
--- a/src/ferryroad/ctl/command_line.cpp
+++ b/src/ferryroad/ctl/command_line.cpp
@@ -37,7 +37,7 @@
     return "ferryctl";
 }
 
-/// The application with the variables that it fills.
+/// The CLI11 application and the variables that it fills.
 class parser {
   public:
     parser()
@@ -48,7 +48,8 @@
         add_globals();
         add_apply();
         add_file_command("plan", "Shows what apply would change.", plan_);
-        add_file_command("validate", "Checks a desired-state file; asks no router.", validate_);
+        add_file_command("validate", "Checks a desired-state file without contacting a router.",
+                         validate_);
         add_get();
         add_watch();
         add("status", "Shows routers and engines as one router sees them.",
@@ -84,7 +85,7 @@
                                                : "value " + text + ": expected IP:PORT";
         };
         app_.add_option("--router", routers_,
-                        "A router's operator address, IP:PORT; repeat it for more, the next is "
+                        "A router's operator address, IP:PORT; may be repeated, the next one is "
                         "tried when one can't be reached")
             ->check(is_endpoint)
             ->take_all()
@@ -115,53 +116,57 @@
     void add_author(CLI::App* sub, std::string& target) {
         target = default_author();
         sub->add_option("--author", target,
-                        "Who asks for it (default: $FERRYCTL_AUTHOR, then $USER)");
+                        "Author recorded with the change (default: $FERRYCTL_AUTHOR, then $USER)");
     }
 
     void add_apply() {
-        CLI::App* sub =
-            add_file_command("apply", "Brings a desired-state file into force.", apply_);
+        CLI::App* sub = add_file_command("apply", "Applies a desired-state file.", apply_);
         sub->add_option("--expect-revision", apply_.expected_revision,
-                        "Refuse if another revision than this is in force");
+                        "Refuse the change unless this revision is in force");
         sub->add_flag("--dry-run", apply_.dry_run, "Show the differences, change nothing");
         add_change_options(sub, apply_.change);
     }
 
     void add_get() {
-        CLI::App* sub = add("get", "Shows what is in force.", [this] { return get_; });
-        sub->add_flag("--as-file", get_.as_file, "Print a file fit for apply -f");
+        CLI::App* sub = add("get", "Shows the configuration in force.", [this] { return get_; });
+        sub->add_flag("--as-file", get_.as_file, "Print a desired-state file for apply -f");
     }
 
     void add_watch() {
         CLI::App* sub =
             add("watch", "Prints each revision as it comes into force.", [this] { return watch_; });
-        sub->add_option("--after", watch_.after, "Begin after this revision (default: from now)");
-        sub->add_option("--count", watch_.count, "End after so many (default: never)");
+        sub->add_option("--after", watch_.after,
+                        "Print revisions after this one (default: the current one)");
+        sub->add_option("--count", watch_.count, "End after this many revisions (default: never)");
     }
 
     void add_drain() {
-        CLI::App* sub = add("drain", "Gives an engine no new work.", [this] { return drain_; });
+        CLI::App* sub =
+            add("drain", "Stops sending new requests to an engine.", [this] { return drain_; });
         sub->add_option("engine", drain_.engine, "Name of the engine")->required();
-        sub->add_flag("--undo", drain_.undo, "Give it work again");
+        sub->add_flag("--undo", drain_.undo, "Send requests to it again");
         add_change_options(sub, drain_.change);
     }
 
     void add_confirm() {
-        CLI::App* sub = add("confirm",
-                            "Vouches for the revision that the routers hold; only after all "
-                            "restarted while the platform's table is down.",
-                            [this] { return confirm_; });
+        CLI::App* sub =
+            add("confirm",
+                "Confirms that the revision that the routers hold is the newest; needed only "
+                "when all restarted while the platform's table is down.",
+                [this] { return confirm_; });
         sub->add_option("revision", confirm_.revision, "The newest revision that was applied")
             ->required();
         add_author(sub, confirm_.author);
     }
 
     void add_explain() {
-        CLI::App* sub =
-            add("explain", "Shows why a request went where it did.", [this] { return explain_; });
+        CLI::App* sub = add("explain", "Shows how the engine for a request was chosen.",
+                            [this] { return explain_; });
         sub->add_option("request-id", explain_.request_id, "The answer's Ferryroad-Request-Id")
             ->required();
-        sub->add_option("--log", explain_.logs, "Tell the request's story from these log files");
+        sub->add_option(
+            "--log", explain_.logs,
+            "Print the request's lines from these log files instead of asking a router");
     }
 
     void add_completion() {
--- a/src/ferryroad/ctl/command_line.hpp
+++ b/src/ferryroad/ctl/command_line.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// ferryctl's command line, by CLI11.
+/// Parses ferryctl's command line with CLI11.
 #pragma once
 
 #include "ferryroad/ctl/options.hpp"
@@ -10,12 +10,12 @@
 
 namespace ferryroad::ctl {
 
-/// @return the options, or the exit code where help was printed or the usage was bad.
+/// @return the options, or the exit code where help was printed or the usage was invalid.
 std::variant<options, int> read_command_line(int argc, const char* const* argv, std::ostream& out,
                                              std::ostream& err);
 
-/// @return a script for `source <(ferryctl completion bash)`, made from the command line's
-/// own description.
+/// @return a script for `source <(ferryctl completion bash)`, generated from the declared
+/// commands and options.
 std::string bash_completion();
 
 }  // namespace ferryroad::ctl
--- a/src/ferryroad/ctl/commands.cpp
+++ b/src/ferryroad/ctl/commands.cpp
@@ -22,7 +22,7 @@
 namespace leaf = boost::leaf;
 namespace v1 = operators::v1;
 
-/// Turns the catalog layer's errors into an exit code and lines that name the source.
+/// Converts the catalog layer's errors into an exit code and messages prefixed with `source`.
 template <typename Decode>
 result<catalog::catalog> read_catalog(const std::string& source, Decode decode) {
     using outcome = result<catalog::catalog>;
@@ -52,7 +52,7 @@
     return read_catalog(path, [&] { return catalog::decode_desired_state(text); });
 }
 
-/// Runs the command that it is called with; each member is one command.
+/// Visitor that runs the chosen command; it has one call operator for each command.
 class runner {
   public:
     runner(const options& chosen, std::ostream& out)
@@ -153,7 +153,7 @@
 
     result<void> operator()(const explain_command& command) {
         if (!command.logs.empty()) {
-            return tell_story(command);
+            return print_request_log(command);
         }
         v1::ExplainRequest request;
         request.set_request_id(command.request_id);
@@ -166,21 +166,22 @@
     }
 
   private:
-    result<void> tell_story(const explain_command& command) {
-        std::vector<story_line> story;
+    result<void> print_request_log(const explain_command& command) {
+        std::vector<log_entry> entries;
         for (const std::string& file : command.logs) {
             std::ifstream log(file);
             if (!log) {
                 return error{exit_code::invalid, file + ": can't be read"};
             }
-            for (story_line& told : find_story(log, command.request_id)) {
-                story.push_back(std::move(told));
+            for (log_entry& parsed_entry : find_log_entries(log, command.request_id)) {
+                entries.push_back(std::move(parsed_entry));
             }
         }
-        if (story.empty()) {
-            return error{exit_code::not_found, "no line names request " + command.request_id};
+        if (entries.empty()) {
+            return error{exit_code::not_found,
+                         "no log line has the request id " + command.request_id};
         }
-        print_story(std::move(story), out_);
+        print_log_entries(std::move(entries), out_);
         return {};
     }
 
@@ -193,7 +194,7 @@
         return {};
     }
 
-    /// Names the id to repeat with where the outcome is unknown.
+    /// Where the outcome is unknown, adds to the message the operation id for a retry.
     template <typename Answer>
     static result<Answer> with_operation(result<Answer> answer, const change_options& change) {
         if (!answer && answer.error().code == exit_code::outcome_unknown) {
--- a/src/ferryroad/ctl/commands.hpp
+++ b/src/ferryroad/ctl/commands.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Runs one ferryctl command.
+/// Runs ferryctl's commands.
 #pragma once
 
 #include "ferryroad/ctl/errors.hpp"
@@ -9,7 +9,7 @@
 
 namespace ferryroad::ctl {
 
-/// Prints the answer to `out`, a failure to `err`. @return the exit code.
+/// Runs one command. Prints its answer to `out`, or its error to `err`. @return the exit code.
 exit_code run_command(const options& chosen, std::ostream& out, std::ostream& err);
 
 }  // namespace ferryroad::ctl
--- a/src/ferryroad/ctl/errors.hpp
+++ b/src/ferryroad/ctl/errors.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How a ferryctl command ends: its exit code and its message.
+/// Exit codes and errors of ferryctl.
 #pragma once
 
 #include <string>
@@ -9,14 +9,15 @@
 /// Exit codes of ferryctl; documented in docs/operators/commands.md.
 enum class exit_code : int {
     success = 0,
-    failed = 1,             ///< Refused for a reason that none of the others names.
-    invalid = 2,            ///< Bad usage, file or desired state. Nothing changed.
-    revision_conflict = 3,  ///< Another change came first. Nothing changed.
+    failed = 1,             ///< An error that no other code covers.
+    invalid = 2,            ///< Invalid usage, file or desired state. Nothing changed.
+    revision_conflict = 3,  ///< Another change came into force first. Nothing changed.
     unreachable = 4,        ///< No router could answer. Nothing changed.
-    outcome_unknown = 5,    ///< The change may have taken effect: repeat with the same id.
+    outcome_unknown = 5,    ///< The change may have taken effect: retry with the same id.
     not_found = 6
 };
 
+/// A failed command; `message` is printed to standard error.
 struct error {
     exit_code code{};
     std::string message;
--- a/src/ferryroad/ctl/log_story.cpp
+++ b/src/ferryroad/ctl/log_story.cpp
@@ -22,7 +22,7 @@
     return value != nullptr && value->is_string() ? value->get_string().c_str() : "";
 }
 
-std::optional<story_line> read_line(std::string_view line, std::string_view request_id) {
+std::optional<log_entry> read_line(std::string_view line, std::string_view request_id) {
     const std::size_t start = line.find('{');
     if (start == std::string_view::npos || line.find(request_id) == std::string_view::npos) {
         return std::nullopt;
@@ -35,38 +35,39 @@
     if (context == nullptr || text_of(*context, id_field) != request_id) {
         return std::nullopt;
     }
-    story_line told{text_of(*object, "timestamp"), text_of(*object, "level"),
-                    text_of(*object, "logger"), text_of(*object, "message"), ""};
+    log_entry parsed_entry{text_of(*object, "timestamp"), text_of(*object, "level"),
+                           text_of(*object, "logger"), text_of(*object, "message"), ""};
     for (const auto& entry : *context) {
         const std::string name(entry.key());
         if (name == id_field) {
             continue;
         }
-        told.fields += (told.fields.empty() ? "" : " ") + name + "=" + text_of(*context, name);
+        parsed_entry.fields +=
+            (parsed_entry.fields.empty() ? "" : " ") + name + "=" + text_of(*context, name);
     }
-    return told;
+    return parsed_entry;
 }
 
 }  // namespace
 
-std::vector<story_line> find_story(std::istream& log, std::string_view request_id) {
-    std::vector<story_line> story;
+std::vector<log_entry> find_log_entries(std::istream& log, std::string_view request_id) {
+    std::vector<log_entry> entries;
     std::string line;
     while (std::getline(log, line)) {
-        if (auto told = read_line(line, request_id)) {
-            story.push_back(std::move(*told));
+        if (auto parsed_entry = read_line(line, request_id)) {
+            entries.push_back(std::move(*parsed_entry));
         }
     }
-    return story;
+    return entries;
 }
 
-void print_story(std::vector<story_line> story, std::ostream& out) {
-    std::stable_sort(story.begin(), story.end(), [](const story_line& a, const story_line& b) {
+void print_log_entries(std::vector<log_entry> entries, std::ostream& out) {
+    std::stable_sort(entries.begin(), entries.end(), [](const log_entry& a, const log_entry& b) {
         return a.timestamp < b.timestamp;
     });
-    for (const story_line& told : story) {
-        out << told.timestamp << ' ' << told.level << ' ' << told.logger << ": " << told.message
-            << ' ' << told.fields << '\n';
+    for (const log_entry& parsed_entry : entries) {
+        out << parsed_entry.timestamp << ' ' << parsed_entry.level << ' ' << parsed_entry.logger
+            << ": " << parsed_entry.message << ' ' << parsed_entry.fields << '\n';
     }
 }
 
--- a/src/ferryroad/ctl/log_story.hpp
+++ b/src/ferryroad/ctl/log_story.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One request's story from the logs of several routers.
+/// Finds and prints the log entries of one request in the logs of several routers.
 #pragma once
 
 #include <iosfwd>
@@ -9,23 +9,23 @@
 
 namespace ferryroad::ctl {
 
-/// A log line that names the request.
-struct story_line {
+/// A log line with the id of the request.
+struct log_entry {
     std::string timestamp;
     std::string level;
     std::string logger;
     std::string message;
-    std::string fields;  ///< `name=value` of everything else, in the line's order.
+    std::string fields;  ///< `name=value` of the other context fields, in the line's order.
 
-    friend bool operator==(const story_line&, const story_line&) = default;
+    friend bool operator==(const log_entry&, const log_entry&) = default;
 };
 
-/// @param log lines; what is no JSON object with a context is passed over. A prefix before the
-/// object, as collectors write it, is skipped.
-/// @return the lines whose context names the request, in the log's order. Thread-safe.
-std::vector<story_line> find_story(std::istream& log, std::string_view request_id);
+/// @param log is read line by line. Text before a line's JSON object, such as a log collector's
+/// prefix, is skipped; lines without a JSON object that has a context are ignored.
+/// @return the lines whose context has the request id, in the log's order. Thread-safe.
+std::vector<log_entry> find_log_entries(std::istream& log, std::string_view request_id);
 
-/// Prints the lines in the order of their timestamps.
-void print_story(std::vector<story_line> story, std::ostream& out);
+/// Prints the entries, sorted by timestamp.
+void print_log_entries(std::vector<log_entry> entries, std::ostream& out);
 
 }  // namespace ferryroad::ctl
--- a/src/ferryroad/ctl/options.hpp
+++ b/src/ferryroad/ctl/options.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A ferryctl command line, read and checked.
+/// The parsed command line of ferryctl.
 #pragma once
 
 #include "ferryroad/base/endpoint.hpp"
@@ -15,7 +15,7 @@
 
 enum class output_format { table, json };
 
-/// Who asks for a change, and under which id.
+/// Author and operation id of a change.
 struct change_options {
     std::string operation_id;
     std::string author;
@@ -34,11 +34,11 @@
     std::string file;
 };
 struct get_command {
-    bool as_file = false;  ///< Only the desired-state file, fit for `apply -f`.
+    bool as_file = false;  ///< Print a desired-state file for `apply -f`.
 };
 struct watch_command {
-    std::optional<std::uint64_t> after;  ///< Nothing: from now on.
-    std::uint64_t count = 0;             ///< Ends after so many revisions; 0: never.
+    std::optional<std::uint64_t> after;  ///< Empty: the revision in force at the start.
+    std::uint64_t count = 0;             ///< Revisions to print before ending; 0: no limit.
 };
 struct status_command {};
 struct drain_command {
@@ -52,7 +52,7 @@
 };
 struct explain_command {
     std::string request_id;
-    std::vector<std::string> logs;  ///< Log files to read instead of asking routers.
+    std::vector<std::string> logs;  ///< Log files to search instead of asking routers.
 };
 struct completion_command {
     std::string shell;
--- a/src/ferryroad/ctl/printer.cpp
+++ b/src/ferryroad/ctl/printer.cpp
@@ -32,7 +32,7 @@
     }
 }
 
-/// @return null where the text isn't JSON: shown as it is, never an error here.
+/// @return the parsed JSON, or null where the text isn't JSON; the caller then omits the fields.
 json::value parse_or_null(const std::string& text) {
     json::error_code failure;
     json::value value = json::parse(text, failure);
@@ -55,7 +55,7 @@
     return found == nullptr ? "-" : json::serialize(*found);
 }
 
-/// One line a field that isn't the same on both sides.
+/// Prints one line for each field that the change sets to another value.
 void print_fields(std::ostream& out, const v1::ResourceDifference& difference) {
     const json::value before = parse_or_null(difference.before());
     const json::value after = parse_or_null(difference.after());
--- a/src/ferryroad/ctl/printer.hpp
+++ b/src/ferryroad/ctl/printer.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Prints routers' answers as tables or as JSON.
+/// Prints answers of routers as tables or as JSON.
 #pragma once
 
 #include "ferryroad/catalog/types.hpp"
@@ -10,7 +10,7 @@
 
 namespace ferryroad::ctl {
 
-/// JSON answers are one object a line.
+/// Prints to a stream. JSON output has one object per line.
 class printer {
   public:
     printer(output_format format, std::ostream& out) : format_(format), out_(out) {}
--- a/src/ferryroad/ctl/router_client.cpp
+++ b/src/ferryroad/ctl/router_client.cpp
@@ -16,17 +16,17 @@
 constexpr int largest_message = 16 * 1024 * 1024;
 constexpr std::chrono::milliseconds shortest_attempt{1000};
 constexpr std::chrono::milliseconds retry_pause{100};
-/// Set by a router that is sure that a failed call changed nothing.
+/// Trailing metadata that a router sets when a failed call is certain to have changed nothing.
 constexpr const char* unchanged_key = "ferryroad-unchanged";
 
-/// What became of one attempt.
+/// Result of one attempt.
 struct attempt {
     grpc::Status status;
-    bool sent = true;               ///< False: no connection.
-    bool surely_unchanged = false;  ///< The router said so.
+    bool sent = true;                  ///< False: no connection could be established.
+    bool confirmed_unchanged = false;  ///< The router stated that nothing changed.
 };
 
-bool worth_repeating(const attempt& made) {
+bool is_retryable(const attempt& made) {
     const grpc::StatusCode code = made.status.error_code();
     return code == grpc::StatusCode::UNAVAILABLE || code == grpc::StatusCode::UNKNOWN ||
            code == grpc::StatusCode::DEADLINE_EXCEEDED || code == grpc::StatusCode::CANCELLED;
@@ -85,12 +85,12 @@
 
 template <typename Answer, typename Call>
 result<Answer> router_client::call_any(bool is_change, bool ask_all, Call call) {
-    const clock::time_point give_up_at = clock::now() + timeout_;
+    const clock::time_point deadline = clock::now() + timeout_;
     bool may_have_changed = false;
     std::size_t asked = 0;
     while (true) {
         connection& router = *connections_[next_ % connections_.size()];
-        const clock::time_point until = std::min(give_up_at, clock::now() + attempt_limit());
+        const clock::time_point until = std::min(deadline, clock::now() + attempt_limit());
         Answer answer;
         attempt made;
         made.sent = router.channel->WaitForConnected(until);
@@ -98,7 +98,8 @@
             grpc::ClientContext context;
             context.set_deadline(until);
             made.status = call(*router.stub, context, answer);
-            made.surely_unchanged = context.GetServerTrailingMetadata().count(unchanged_key) != 0;
+            made.confirmed_unchanged =
+                context.GetServerTrailingMetadata().count(unchanged_key) != 0;
         } else {
             made.status = {grpc::StatusCode::UNAVAILABLE, "no connection"};
         }
@@ -108,12 +109,13 @@
         ++asked;
         const bool ask_next = ask_all && made.status.error_code() == grpc::StatusCode::NOT_FOUND &&
                               asked < connections_.size();
-        if (!worth_repeating(made) && !ask_next) {
+        if (!is_retryable(made) && !ask_next) {
             return error{to_exit_code(made.status.error_code()), made.status.error_message()};
         }
-        may_have_changed = may_have_changed || (is_change && made.sent && !made.surely_unchanged);
-        // A shorter attempt would end unanswered, and leave the outcome unknown.
-        if (clock::now() + shortest_attempt >= give_up_at) {
+        may_have_changed =
+            may_have_changed || (is_change && made.sent && !made.confirmed_unchanged);
+        // An attempt shorter than this would time out and leave the outcome unknown.
+        if (clock::now() + shortest_attempt >= deadline) {
             return no_answer(router.address, made.status, may_have_changed);
         }
         ++next_;
@@ -167,12 +169,11 @@
 
 result<void> router_client::watch(std::uint64_t after,
                                   const std::function<bool(const v1::WatchEvent&)>& take) {
-    clock::time_point give_up_at = clock::now() + timeout_;
+    clock::time_point deadline = clock::now() + timeout_;
     while (true) {
         connection& router = *connections_[next_++ % connections_.size()];
         grpc::Status status(grpc::StatusCode::UNAVAILABLE, "no connection");
-        if (router.channel->WaitForConnected(
-                std::min(give_up_at, clock::now() + attempt_limit()))) {
+        if (router.channel->WaitForConnected(std::min(deadline, clock::now() + attempt_limit()))) {
             grpc::ClientContext context;
             v1::WatchRequest request;
             request.set_after_revision(after);
@@ -184,11 +185,11 @@
                     context.TryCancel();
                     return {};
                 }
-                give_up_at = clock::now() + timeout_;
+                deadline = clock::now() + timeout_;
             }
             status = reader->Finish();
         }
-        if (clock::now() + retry_pause >= give_up_at) {
+        if (clock::now() + retry_pause >= deadline) {
             return no_answer(router.address, status, false);
         }
         std::this_thread::sleep_for(retry_pause);
--- a/src/ferryroad/ctl/router_client.hpp
+++ b/src/ferryroad/ctl/router_client.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Calls to whichever router answers: the next one is tried when one can't be reached, and a
-/// change goes under the same operation id each time, so that it takes effect once.
+/// Client of the operators' service with failover: when a router can't be reached, the next one is
+/// tried. A change has the same operation id in every attempt, so that it takes effect once.
 #pragma once
 
 #include "ferryroad/base/endpoint.hpp"
@@ -19,10 +19,10 @@
 template <typename T>
 using result = boost::system::result<T, error>;
 
-/// Synchronous; used from one thread.
+/// Its calls block. Not thread-safe.
 class router_client {
   public:
-    /// @param timeout for one call with all its retries.
+    /// @param timeout for one call, retries included.
     router_client(const std::vector<base::endpoint>& routers, std::chrono::milliseconds timeout);
     ~router_client();
 
@@ -31,13 +31,15 @@
     result<operators::v1::GetAnswer> get();
     result<operators::v1::StatusAnswer> status();
     result<operators::v1::DrainAnswer> drain(const operators::v1::DrainRequest& request);
-    /// Repeating it does no harm.
+    /// Idempotent.
     result<operators::v1::ConfirmAnswer> confirm(const operators::v1::ConfirmRequest& request);
-    /// Asks every router: each knows of its own requests only.
+    /// Asks the routers one after the other, because each has records of its own requests only.
     result<operators::v1::ExplainAnswer> explain(const operators::v1::ExplainRequest& request);
 
-    /// Calls `take` with each event until it returns false. A broken stream goes on at
-    /// another router after the last event; fails after `timeout` without any router.
+    /// Calls `take` with each event until it returns false. When the stream breaks, the watch is
+    /// resumed at another router after the last event. Fails with
+    /// `unreachable` where the stream breaks, or can't be opened, and `timeout` has passed since
+    /// the start or the last event.
     result<void> watch(std::uint64_t after,
                        const std::function<bool(const operators::v1::WatchEvent&)>& take);
 
@@ -47,12 +49,12 @@
 
     template <typename Answer, typename Call>
     result<Answer> call_any(bool is_change, bool ask_all, Call call);
-    /// @return how long one attempt may take.
+    /// @return the time limit of one attempt.
     std::chrono::milliseconds attempt_limit() const;
 
     std::vector<std::unique_ptr<connection>> connections_;
     std::chrono::milliseconds timeout_;
-    std::size_t next_ = 0;  ///< The router that is tried first.
+    std::size_t next_ = 0;  ///< Index of the router that the next call tries first.
 };
 
 }  // namespace ferryroad::ctl
--- a/src/ferryroad/ctl/text_table.hpp
+++ b/src/ferryroad/ctl/text_table.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Aligned columns for terminals.
+/// Tables with aligned columns for terminal output.
 #pragma once
 
 #include <ostream>
--- a/src/ferryroad/daemon/daemon.cpp
+++ b/src/ferryroad/daemon/daemon.cpp
@@ -28,9 +28,9 @@
 
 constexpr std::string_view log_component = "daemon";
 constexpr int exit_cannot_listen = 1;
-/// Operators' calls at work may take this long to end on a planned stop.
+/// Time that operators' calls in progress get to end on a planned stop.
 constexpr base::duration operator_grace = std::chrono::seconds(2);
-/// How often a planned stop looks whether the last request has ended.
+/// Interval at which a planned stop checks whether the last request has ended.
 constexpr base::duration stop_poll = std::chrono::milliseconds(20);
 
 runtime::log_level level_of(const std::string& name) {
@@ -57,7 +57,7 @@
             std::move(peer_address)};
 }
 
-/// Everything of one process, in the order of construction.
+/// The components of the process, in the order of construction.
 struct process {
     explicit process(const daemon_settings& settings)
         : scheduler(context, std::random_device{}()),
@@ -101,16 +101,17 @@
     operators::operator_server operators;
 };
 
-/// A second signal changes nothing: requests at work still end.
+/// Waits for the first stop signal, then drains and stops the process. Later signals are ignored,
+/// so that they don't cut short the requests in progress.
 runtime::task<void> stop_at_signal(process& running, base::duration grace) {
     co_await running.stop_signals.async_wait(boost::asio::use_awaitable);
     runtime::log(runtime::log_level::info, log_component, "planned stop begins");
     running.node.begin_stop();
     const base::monotonic_time latest = running.scheduler.now() + grace;
     bool drained = false;
-    running.scheduler.spawn("daemon.drain", [](process& at, bool& done) -> runtime::task<void> {
-        co_await at.callers.drain();
-        co_await at.node.drain();
+    running.scheduler.spawn("daemon.drain", [](process& target, bool& done) -> runtime::task<void> {
+        co_await target.callers.drain();
+        co_await target.node.drain();
         done = true;
     }(running, drained));
     while (!drained && running.scheduler.now() < latest) {
@@ -124,9 +125,10 @@
     running.context.stop();
 }
 
-/// Supervisors send a reload signal to what they run; it must not end a router that has nothing to
-/// reload: its settings hold for its life, and the configuration comes by operators' calls.
-runtime::task<void> tell_reload_signals(process& running) {
+/// Logs reload signals and otherwise ignores them. Supervisors send SIGHUP to the programs they
+/// run; it must not end the router, which has nothing to reload: its settings are read at the start
+/// only, and its configuration comes from operators' calls.
+runtime::task<void> log_reload_signals(process& running) {
     for (;;) {
         co_await running.reload_signals.async_wait(boost::asio::use_awaitable);
         runtime::log(runtime::log_level::warning, log_component,
@@ -149,13 +151,14 @@
         }
         running.node.start();
         running.scheduler.spawn(log_component, stop_at_signal(running, settings.stop_grace));
-        running.scheduler.spawn(log_component, tell_reload_signals(running));
+        running.scheduler.spawn(log_component, log_reload_signals(running));
         runtime::log(runtime::log_level::info, log_component, "serving",
                      {{"router", settings.name.value},
                       {"caller_address", callers.to_string()},
                       {"operator_address", operators->to_string()},
                       {"peer_address", running.peer_address.to_string()}});
-        // Not before: threads of the operators' server go on for a moment as the handlers go.
+        // Created after the operators' server: its threads still run for a moment while the signal
+        // handlers are destroyed.
         const runtime::signal_delivery delivered;
         running.context.run();
         running.context.finish();
--- a/src/ferryroad/daemon/daemon_settings.hpp
+++ b/src/ferryroad/daemon/daemon_settings.hpp
@@ -13,6 +13,7 @@
 
 namespace ferryroad::daemon {
 
+/// Values of the settings; the members have the settings' names (`stop_grace` is `stop_grace_ms`).
 struct daemon_settings {
     base::router_name name;
     base::zone_name zone{"zone-1"};
@@ -29,7 +30,7 @@
     std::string log_level = "info";
 };
 
-/// @param target is filled by the schema and outlives it.
+/// Declares the settings. @param target receives the values and must outlive the schema.
 settings::schema describe(daemon_settings& target);
 
 }  // namespace ferryroad::daemon
--- a/src/ferryroad/operator/messages/catalog_codec.cpp
+++ b/src/ferryroad/operator/messages/catalog_codec.cpp
@@ -144,7 +144,7 @@
     return route;
 }
 
-/// Decodes one list; a name that comes twice is a fault.
+/// Decodes one list of resources and reports names that occur more than once.
 template <typename Messages, typename Decode, typename Map>
 void decode_list(const Messages& messages, catalog::resource_kind kind, Decode decode, Map& into,
                  std::vector<catalog::error>& faults) {
--- a/src/ferryroad/operator/messages/catalog_codec.hpp
+++ b/src/ferryroad/operator/messages/catalog_codec.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The catalog in the messages of schema/operator.proto.
+/// Converts the catalog to and from the messages of schema/operator.proto.
 #pragma once
 
 #include "ferryroad/catalog/difference.hpp"
@@ -13,9 +13,11 @@
 
 namespace ferryroad::operators {
 
+/// Writes all resources to `into`; the revision isn't part of the message.
 void encode_state(const catalog::catalog& declared, v1::DesiredState& into);
 
-/// Numbers that are 0 where 0 makes no sense stand for the default.
+/// Converts and checks a desired state. A number that is 0 where 0 isn't a valid value is replaced
+/// by its default.
 /// @return the catalog, or `catalog::invalid_catalog` with every fault.
 boost::leaf::result<catalog::catalog> decode_state(const v1::DesiredState& state);
 
--- a/src/ferryroad/operator/service/errors.hpp
+++ b/src/ferryroad/operator/service/errors.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Errors of the operators' server.
+/// Errors of the operators' gRPC server.
 #pragma once
 
 #include <string>
--- a/src/ferryroad/operator/service/operator_server.cpp
+++ b/src/ferryroad/operator/service/operator_server.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// A desired state of the design size (1,200 tenants) is about a megabyte.
+/// In bytes. A desired state with 1,200 tenants, the design size, is about one megabyte.
 constexpr int largest_message = 16 * 1024 * 1024;
 constexpr base::duration shutdown_check = std::chrono::milliseconds(10);
 
@@ -43,7 +43,8 @@
         co_return;
     }
     std::atomic<bool> done = false;
-    // Shutdown blocks until every call has ended, and calls end on the event loop.
+    // Runs on a thread of its own: Shutdown blocks until every call has ended, and calls end on the
+    // event loop.
     shutdown_ = std::thread([this, grace, &done] {
         server_->Shutdown(std::chrono::system_clock::now() +
                           std::chrono::duration_cast<std::chrono::milliseconds>(grace));
--- a/src/ferryroad/operator/service/operator_server.hpp
+++ b/src/ferryroad/operator/service/operator_server.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Listens for operators' calls.
+/// gRPC server for operators' calls.
 #pragma once
 
 #include "ferryroad/base/endpoint.hpp"
@@ -11,20 +11,23 @@
 
 namespace ferryroad::operators {
 
-/// gRPC server on threads of gRPC's own. Used from the event loop's thread.
+/// Runs the operators' gRPC service on gRPC's threads. Call its functions on the event loop's
+/// thread.
 class operator_server {
   public:
     explicit operator_server(operator_ports ports);
-    /// `stop` must have been awaited, or never have been needed.
+    /// Precondition: `stop` has completed, or `start` has not been called or has failed.
     ~operator_server();
     operator_server(const operator_server&) = delete;
     operator_server& operator=(const operator_server&) = delete;
 
-    /// @param listen port 0 takes a free one. @return the address in use.
+    /// @param listen port 0 selects a free port.
+    /// @return the address that the server listens on, or `listen_failed`.
     runtime::result<base::endpoint, error> start(base::endpoint listen);
 
-    /// Takes no new call, lets calls at work end within `grace`, cancels the rest (watches
-    /// always). The event loop goes on meanwhile.
+    /// Accepts no new calls, gives calls in progress up to `grace` to end, and cancels the rest
+    /// (watches don't end by themselves and are always cancelled). The event loop must keep
+    /// running until it completes.
     runtime::task<void> stop(base::duration grace);
 
   private:
--- a/src/ferryroad/operator/service/operator_service.cpp
+++ b/src/ferryroad/operator/service/operator_service.cpp
@@ -20,7 +20,7 @@
 namespace leaf = boost::leaf;
 
 /// Runs `work` on the event loop and finishes the call with the status it returns. gRPC keeps
-/// request and answer until then.
+/// the request and the answer alive until then.
 template <typename Work>
 grpc::ServerUnaryReactor* run_on_loop(grpc::CallbackServerContext* context,
                                       const operator_ports& ports, Work work) {
@@ -38,7 +38,7 @@
     return {grpc::StatusCode::NOT_FOUND, message};
 }
 
-/// @return the catalog, or every fault as a status.
+/// @return the catalog, or INVALID_ARGUMENT with every fault, one a line.
 runtime::result<catalog::catalog, grpc::Status> decode_desired(const v1::DesiredState& state) {
     using outcome = runtime::result<catalog::catalog, grpc::Status>;
     return leaf::try_handle_all(
@@ -65,7 +65,7 @@
     return check_author(author);
 }
 
-/// @return until the operator's tool stops waiting; nothing where it named no limit.
+/// @return the time until the deadline of the call; nothing where the client set none.
 std::optional<base::duration> time_left(const grpc::CallbackServerContext& context) {
     if (context.deadline() == std::chrono::system_clock::time_point::max()) {
         return std::nullopt;
@@ -73,12 +73,12 @@
     return context.deadline() - std::chrono::system_clock::now();
 }
 
-/// Tells the operator's tool that the failed call changed nothing.
+/// Trailing metadata which tells the client that the failed call changed nothing.
 constexpr const char* unchanged_key = "ferryroad-unchanged";
 
-/// Ends a change that failed.
-void refuse(grpc::CallbackServerContext* context, grpc::ServerUnaryReactor* reactor,
-            const router::configuration_error& failure) {
+/// Finishes the call of a change that failed.
+void finish_failed_change(grpc::CallbackServerContext* context, grpc::ServerUnaryReactor* reactor,
+                          const router::configuration_error& failure) {
     if (failure.code != router::configuration_error_code::outcome_unknown) {
         context->AddTrailingMetadata(unchanged_key, "true");
     }
@@ -107,7 +107,7 @@
     command.time_left = time_left(*context);
     auto outcome = co_await ports.control.apply(std::move(command));
     if (!outcome) {
-        refuse(context, reactor, outcome.error());
+        finish_failed_change(context, reactor, outcome.error());
         co_return;
     }
     answer->set_revision(outcome->revision.value);
@@ -116,7 +116,7 @@
     reactor->Finish(grpc::Status::OK);
 }
 
-/// @return the pool that the engine is in, or is drained from.
+/// @return the pool that the engine belongs to, or is drained from; nothing for an unknown engine.
 std::optional<base::pool_name> find_pool(const operator_ports& ports,
                                          const base::engine_name& engine) {
     for (const router::engine_status& status : ports.status.status().engines) {
@@ -153,7 +153,7 @@
                                   time_left(*context)};
     auto outcome = co_await ports.control.drain(std::move(command));
     if (!outcome) {
-        refuse(context, reactor, outcome.error());
+        finish_failed_change(context, reactor, outcome.error());
         co_return;
     }
     answer->set_revision(outcome->revision.value);
--- a/src/ferryroad/operator/service/operator_service.hpp
+++ b/src/ferryroad/operator/service/operator_service.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The operators' gRPC service: turns calls into work on the event loop.
+/// The operators' gRPC service, which runs its calls on the event loop.
 #pragma once
 
 #include "ferryroad/router/configuration/control.hpp"
@@ -14,7 +14,7 @@
 
 namespace ferryroad::operators {
 
-/// What operators' calls reach; everything outlives the service.
+/// The router components that operators' calls use. All must outlive the service.
 struct operator_ports {
     router::configuration_view& view;
     router::configuration_control& control;
@@ -23,8 +23,8 @@
     runtime::scheduler& scheduler;
 };
 
-/// Called on gRPC's threads; each call posts itself onto the event loop, which must run until
-/// the server has shut down.
+/// Called on gRPC's threads. Each call is posted to the event loop, which must run until the server
+/// has shut down.
 class operator_service final : public v1::Operator::CallbackService {
   public:
     explicit operator_service(operator_ports ports) : ports_(ports) {}
--- a/src/ferryroad/operator/service/status_codec.hpp
+++ b/src/ferryroad/operator/service/status_codec.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Errors, status and decisions in the messages of schema/operator.proto.
+/// Converts errors, status and routing decisions to the messages of schema/operator.proto.
 #pragma once
 
 #include "ferryroad/router/configuration/errors.hpp"
--- a/src/ferryroad/operator/service/watch_reactor.cpp
+++ b/src/ferryroad/operator/service/watch_reactor.cpp
@@ -23,11 +23,12 @@
     if (finished_) {
         return;
     }
-    if (waiting_.size() >= most_waiting_events) {
-        finish({grpc::StatusCode::RESOURCE_EXHAUSTED, "the watch is too slow; begin again"});
+    if (queued_events_.size() >= max_queued_events) {
+        finish({grpc::StatusCode::RESOURCE_EXHAUSTED,
+                "the client reads events too slowly; start the watch again"});
         return;
     }
-    v1::WatchEvent& message = waiting_.emplace_back();
+    v1::WatchEvent& message = queued_events_.emplace_back();
     message.set_revision(event.revision.value);
     message.set_author(event.author.value);
     message.set_operation_id(event.operation.value);
@@ -37,9 +38,9 @@
 }
 
 void watch_reactor::write_next() {
-    if (!writing_ && !finished_ && !waiting_.empty()) {
+    if (!writing_ && !finished_ && !queued_events_.empty()) {
         writing_ = true;
-        StartWrite(&waiting_.front());
+        StartWrite(&queued_events_.front());
     }
 }
 
@@ -53,7 +54,7 @@
 void watch_reactor::OnWriteDone(bool ok) {
     boost::asio::post(executor_, [this, ok] {
         writing_ = false;
-        waiting_.pop_front();
+        queued_events_.pop_front();
         if (ok) {
             write_next();
         } else {
--- a/src/ferryroad/operator/service/watch_reactor.hpp
+++ b/src/ferryroad/operator/service/watch_reactor.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One operator's watch: revisions as a stream of gRPC messages.
+/// Streams configuration revisions to one operator.
 #pragma once
 
 #include "ferryroad/router/configuration/control.hpp"
@@ -14,18 +14,19 @@
 
 namespace ferryroad::operators {
 
-/// Events wait here for a slow operator; with more, the watch ends with RESOURCE_EXHAUSTED.
-inline constexpr std::size_t most_waiting_events = 1024;
+/// Events queued for a client that reads slowly. When the queue is full, the watch ends with
+/// RESOURCE_EXHAUSTED.
+inline constexpr std::size_t max_queued_events = 1024;
 
-/// Owns itself: deleted on the event loop after gRPC's last callback. State is touched on the
-/// event loop's thread only.
+/// Server side of a Watch call. Deletes itself on the event loop after gRPC's last callback. Its
+/// state is accessed on the event loop's thread only.
 class watch_reactor final : public grpc::ServerWriteReactor<v1::WatchEvent> {
   public:
-    /// @param after the revision that the operator knows.
+    /// @param after the last revision that the client has seen.
     watch_reactor(router::configuration_control& control, runtime::scheduler& scheduler,
                   base::revision after);
 
-    // gRPC's threads.
+    // Called on gRPC's threads.
     void OnWriteDone(bool ok) override;
     void OnCancel() override;
     void OnDone() override;
@@ -39,7 +40,7 @@
     router::configuration_control& control_;
     boost::asio::any_io_executor executor_;
     std::unique_ptr<router::watch_subscription> subscription_;
-    std::deque<v1::WatchEvent> waiting_;  ///< The front one is being written.
+    std::deque<v1::WatchEvent> queued_events_;  ///< The front event is being written.
     bool writing_ = false;
     bool finished_ = false;
 };
--- a/test/ctl/commands_test.cpp
+++ b/test/ctl/commands_test.cpp
@@ -1,4 +1,4 @@
-/// ferryctl against routers on loopback: what it prints and how it ends.
+/// Checks ferryctl's output and exit codes against routers on loopback.
 #include "ferryroad/ctl/commands.hpp"
 
 #include "ferryroad/ctl/command_line.hpp"
@@ -28,7 +28,7 @@
     }
 };
 
-/// Runs one command line, whose words are divided by spaces.
+/// Runs one command line, given as arguments separated by spaces.
 ending run(const std::string& line) {
     std::istringstream words(line);
     std::vector<std::string> arguments{"ferryctl"};
@@ -60,7 +60,7 @@
 const std::string demo_file = FERRYROAD_SOURCE_DIR "/deploy/demo.json";
 
 struct row {
-    const char* line;  ///< %s stands for the demonstration file, which is in force.
+    const char* line;  ///< %s is replaced by the path of the demonstration file, which is in force.
     exit_code code;
     const char* shown;
 };
--- a/test/ctl/log_story_test.cpp
+++ b/test/ctl/log_story_test.cpp
@@ -1,4 +1,4 @@
-/// A request's story from logs: its own lines alone, in the order of time.
+/// Checks that only the request's own log lines are found, and that they are printed by timestamp.
 #include "ferryroad/ctl/log_story.hpp"
 
 #include <criterion/criterion.h>
@@ -18,29 +18,29 @@
 
 }  // namespace
 
-Test(log_story, takes_only_the_requests_own_lines) {
+Test(log_story, finds_only_lines_of_the_request) {
     std::istringstream log(line("t1", "a1", "one") + "garbage a1\n" + line("t2", "b2", "a1") +
                            "{ \"broken\": a1\n" + "[]a1\n" + line("t3", "a1", "two"));
-    const auto story = find_story(log, "a1");
-    cr_assert_eq(story.size(), 2);
-    cr_assert(story[0] == (story_line{"t1", "INFO", "relay.request", "one", "engine=e1"}));
-    cr_assert(story[1].message == "two");
+    const auto entries = find_log_entries(log, "a1");
+    cr_assert_eq(entries.size(), 2);
+    cr_assert(entries[0] == (log_entry{"t1", "INFO", "relay.request", "one", "engine=e1"}));
+    cr_assert(entries[1].message == "two");
 }
 
-Test(log_story, skips_what_a_collector_writes_before_the_object) {
+Test(log_story, skips_a_prefix_before_the_json_object) {
     std::istringstream log("   2.2899 router-1 " + line("t1", "a1", "one"));
-    cr_assert_eq(find_story(log, "a1").size(), 1);
+    cr_assert_eq(find_log_entries(log, "a1").size(), 1);
 }
 
-Test(log_story, prints_in_the_order_of_time) {
+Test(log_story, prints_sorted_by_timestamp) {
     std::istringstream second(line("t2", "a1", "later"));
     std::istringstream first(line("t1", "a1", "sooner"));
-    auto story = find_story(second, "a1");
-    for (auto& told : find_story(first, "a1")) {
-        story.push_back(told);
+    auto entries = find_log_entries(second, "a1");
+    for (auto& parsed_entry : find_log_entries(first, "a1")) {
+        entries.push_back(parsed_entry);
     }
     std::ostringstream out;
-    print_story(story, out);
+    print_log_entries(entries, out);
     const std::string text = out.str();
     cr_assert(text ==
               "t1 INFO relay.request: sooner engine=e1\nt2 INFO relay.request: later engine=e1\n");
--- a/test/launcher/launcher_test.py
+++ b/test/launcher/launcher_test.py
@@ -1,6 +1,6 @@
-"""Guards against routers that a signal ends while their libraries are loaded: the executable depends
-on the C library alone and blocks signals before it loads the router. Also against a router that
-runs with a library which is missing, damaged or of another build.
+"""Checks that a signal can't end a router while its libraries are loaded: the executable links only
+the C library and blocks signals before it loads the router. Also checks that the executable refuses
+to start with a library that is missing, damaged or from another build.
 """
 
 import argparse
--- a/test/launcher/other_build_product.cpp
+++ b/test/launcher/other_build_product.cpp
@@ -1,4 +1,4 @@
-/// A program's library that another build made. It must not be run.
+/// A program's library with the id of another build. The launcher must refuse to run it.
 #include "ferryroad/launcher/product_entry.hpp"
 
 namespace {
--- a/test/operator/running_router.hpp
+++ b/test/operator/running_router.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The operators' side of one router on loopback: the real service, configuration and server
-/// on the platform's model, on an event loop in a thread of its own.
+/// Test fixture: the operators' gRPC server and the configuration service of one router, on
+/// loopback, over an emulated platform. Its event loop runs on a thread of its own.
 #pragma once
 
 #include "emulator/platform/model_services.hpp"
@@ -24,7 +24,7 @@
 
 namespace ferryroad::operators::testing {
 
-/// Knows one engine, and no more.
+/// Status source that reports one router and one engine.
 class one_engine_status final : public router::status_source {
   public:
     router::system_status status() const override {
@@ -42,7 +42,7 @@
     }
 };
 
-/// Explains one request, and selects nothing.
+/// Selector that has a record of one request and always fails to select.
 class one_request_selector final : public router::engine_selector {
   public:
     runtime::task<runtime::result<router::selected_engine, router::selection_error>> select(
@@ -66,7 +66,7 @@
 
 class running_router {
   public:
-    /// @param commit_limit after which a change that can't be committed is given up.
+    /// @param commit_limit time after which a change that can't be committed fails.
     explicit running_router(base::duration commit_limit = std::chrono::seconds(8))
         : guard_(context_.get_executor()),
           scheduler_(context_, 1),
@@ -90,7 +90,7 @@
 
     const base::endpoint& address() const { return address_; }
 
-    /// Takes the server down as a planned stop does.
+    /// Stops the server the way a planned stop does.
     void stop() {
         if (server_) {
             boost::asio::co_spawn(context_, server_->stop(std::chrono::milliseconds(50)),
--- a/test/operator/service_test.cpp
+++ b/test/operator/service_test.cpp
@@ -1,4 +1,5 @@
-/// The contract of schema/operator.proto over real gRPC: what is refused, with which status.
+/// Checks the contract of schema/operator.proto over gRPC: which calls are refused, and with which
+/// status.
 #include "test/operator/running_router.hpp"
 
 #include <criterion/criterion.h>
