--- a/src/ferryroad/router/backends/backend_directory.cpp
+++ b/src/ferryroad/router/backends/backend_directory.cpp
@@ -106,7 +106,7 @@
     }
 }
 
-void backend_directory::apply_list(const std::vector<platform::machine>& machines) {
+void backend_directory::apply_machine_list(const std::vector<platform::machine>& machines) {
     const base::monotonic_time now = clock_.now();
     std::set<base::engine_name> listed;
     for (const platform::machine& machine : machines) {
--- a/src/ferryroad/router/backends/backend_directory.hpp
+++ b/src/ferryroad/router/backends/backend_directory.hpp
@@ -40,7 +40,7 @@
     void record_leaving(const base::engine_name& engine, base::incarnation process) override;
 
     /// Applies a newly read machine list. Entries that aren't engines are ignored.
-    void apply_list(const std::vector<platform::machine>& machines);
+    void apply_machine_list(const std::vector<platform::machine>& machines);
 
     /// Starts the load requests that are due now, at most `limit` of them. Each counts as in
     /// flight until `record_poll` or `record_poll_failure` is called for its engine.
--- a/src/ferryroad/router/backends/backend_service.cpp
+++ b/src/ferryroad/router/backends/backend_service.cpp
@@ -40,7 +40,7 @@
         if (listed.has_value()) {
             ++counters_.lists_read;
             consecutive_list_failures_ = 0;
-            collaborators_.directory.apply_list(*listed);
+            collaborators_.directory.apply_machine_list(*listed);
         } else {
             ++counters_.lists_failed;
             ++consecutive_list_failures_;
--- a/src/ferryroad/router/claims/table_claim_registry.cpp
+++ b/src/ferryroad/router/claims/table_claim_registry.cpp
@@ -118,7 +118,7 @@
     return {scheduler_.unix_milliseconds(), known_dead_};
 }
 
-runtime::task<void> table_claim_registry::sweep_for_ever() {
+runtime::task<void> table_claim_registry::run_sweep_loop() {
     for (;;) {
         // The random factor keeps routers that started together from sweeping at the same time;
         // scaling by the number of routers keeps the total load constant.
--- a/src/ferryroad/router/claims/table_claim_registry.hpp
+++ b/src/ferryroad/router/claims/table_claim_registry.hpp
@@ -39,7 +39,7 @@
     /// Deletes expired claims and closes abandoned ones, page by page, until cancelled. The pause
     /// between pages grows with the number of live routers, so the load on the table doesn't
     /// depend on it.
-    runtime::task<void> sweep_for_ever();
+    runtime::task<void> run_sweep_loop();
     /// Processes the next page. @return the number of claims deleted or closed.
     runtime::task<std::size_t> sweep_page();
 
--- a/src/ferryroad/router/node.cpp
+++ b/src/ferryroad/router/node.cpp
@@ -120,7 +120,7 @@
     services_->membership.start();
     services_->configuration.start();
     services_->backend.start();
-    services_->scheduler.spawn("router.claims", services_->claims.sweep_for_ever());
+    services_->scheduler.spawn("router.claims", services_->claims.run_sweep_loop());
 }
 
 void node::begin_stop() {
--- a/test/router/backends/backend_directory_test.cpp
+++ b/test/router/backends/backend_directory_test.cpp
@@ -126,10 +126,10 @@
              b.poll(report_of(5), 0ms, 1);
          },
          false},
-        {"missing from one list", [](fixture& b) { b.directory.apply_list({}); }, true},
+        {"missing from one list", [](fixture& b) { b.directory.apply_machine_list({}); }, true},
         {"missing for long",
          [](fixture& b) {
-             b.directory.apply_list({});
+             b.directory.apply_machine_list({});
              b.clock.time += b.limits.missing_timeout;
          },
          false},
--- a/test/router/backends/directory_fixture.hpp
+++ b/test/router/backends/directory_fixture.hpp
@@ -59,7 +59,7 @@
 
     void list(platform::machine_state state = platform::machine_state::live,
               std::uint16_t port = 1) {
-        directory.apply_list({machine_of("e1", port, state)});
+        directory.apply_machine_list({machine_of("e1", port, state)});
     }
     void poll(const engine::load_report& load, base::duration asked_ago = 0ms,
               std::uint16_t port = 1) {
--- a/test/router/claims/table_claim_registry_test.cpp
+++ b/test/router/claims/table_claim_registry_test.cpp
@@ -256,7 +256,7 @@
     std::optional<claimed> other;
     run.first.scheduler.spawn("claim", run_claim(run.first, abandoned, other));
     run.advance(coordination::claim::tunables{}.retention);
-    run.second.scheduler.spawn("sweep", run.second.registry.sweep_for_ever());
+    run.second.scheduler.spawn("sweep", run.second.registry.run_sweep_loop());
     run.advance(10min);
     const auto left = run.rows.scan("claim/", {}, 10);
     cr_assert_eq(left.size(), 1U);
--- a/test/router/leases/lease_test.cpp
+++ b/test/router/leases/lease_test.cpp
@@ -257,7 +257,7 @@
         machines.push_back(machine);
     }
     for (const auto& router : test.routers) {
-        router->directory.apply_list(machines);
+        router->directory.apply_machine_list(machines);
         for (const auto& engine : test.engines) {
             router->directory.record_poll(engine->name(),
                                           {engine->address(), router->scheduler.now(),
