--- a/src/ferryroad/leases/lease_service.cpp
+++ b/src/ferryroad/leases/lease_service.cpp
@@ -98,7 +98,7 @@
             if (stopped_ && wait->when == base::monotonic_time::max()) {
                 co_return;
             }
-            const base::monotonic_time next_check = scheduler_.now() + settings_.look_period;
+            const base::monotonic_time next_check = scheduler_.now() + settings_.check_period;
             co_await scheduler_.sleep_until(std::min(wait->when, next_check));
             continue;
         }
--- a/src/ferryroad/leases/lease_service.hpp
+++ b/src/ferryroad/leases/lease_service.hpp
@@ -19,7 +19,7 @@
 struct lease_service_settings {
     coordination::lease::lease_settings lease;
     /// Longest time until the service checks again whether a lease is wanted.
-    base::duration look_period = std::chrono::milliseconds(500);
+    base::duration check_period = std::chrono::milliseconds(500);
 };
 
 /// Not thread-safe: used from the event loop's thread only. Must exist until the event loop has
--- a/src/ferryroad/leases/presence.cpp
+++ b/src/ferryroad/leases/presence.cpp
@@ -94,7 +94,7 @@
     co_await write_own_row();
 }
 
-void presence::remove_gone(const base::router_name& name) {
+void presence::remove_router_row(const base::router_name& name) {
     const platform::row_key key = to_row_key(name);
     const auto known = m_rows.find(key);
     if (known != m_rows.end() && !m_stopped) {
@@ -115,13 +115,13 @@
                  {{"key", key.value}, {"removed", removed ? "true" : "false"}});
 }
 
-void presence::look() {
+void presence::report_present_routers() {
     const std::vector<present_router> routers = present(m_scheduler.now());
     m_present_count = routers.size();
     m_on_present(routers);
 }
 
-void presence::see(const platform::row& row) {
+void presence::update_row(const platform::row& row) {
     if (row.version.value == 0) {
         const bool was_known = m_rows.erase(row.key) > 0;
         if (was_known && row.key == to_row_key(m_self.name) && m_listed && !m_stopped) {
--- a/src/ferryroad/leases/presence.hpp
+++ b/src/ferryroad/leases/presence.hpp
@@ -54,7 +54,8 @@
 /// the table must outlive it.
 class presence {
   public:
-    /// @param on_present called by each `look` with all routers that are present, this one first.
+    /// @param on_present called by each `report_present_routers` with all routers that are present,
+    /// this one first.
     presence(runtime::scheduler& scheduler, platform::table& table, present_router self,
              std::function<void(const std::vector<present_router>&)> on_present,
              presence_settings settings = {});
@@ -67,13 +68,13 @@
     /// Takes the current state of a heartbeat row; `version` 0 means that the row was removed. If
     /// this router's own row was removed, because another router declared it dead, it is written
     /// again.
-    void see(const platform::row& row);
+    void update_row(const platform::row& row);
     /// Deletes the row of a router that has ended, unless the router has rewritten the row in the
     /// meantime.
-    void remove_gone(const base::router_name& name);
+    void remove_router_row(const base::router_name& name);
     /// Reports the routers that are present according to the rows seen so far. Call it after each
     /// read of the table.
-    void look();
+    void report_present_routers();
     /// @return whether the first write of this router's row has succeeded.
     bool is_listed() const { return m_listed; }
     /// @return the period of the heartbeat, without jitter.
@@ -101,7 +102,7 @@
     std::function<void(const std::vector<present_router>&)> m_on_present;
     presence_settings m_settings;
     std::map<platform::row_key, seen_row> m_rows;
-    std::size_t m_present_count = 1;  ///< As of the last `look`.
+    std::size_t m_present_count = 1;  ///< As of the last `report_present_routers`.
     bool m_listed = false;
     bool m_stopped = false;
 };
--- a/src/ferryroad/quotas/quota_service.cpp
+++ b/src/ferryroad/quotas/quota_service.cpp
@@ -69,7 +69,7 @@
 }
 
 quota_verdict quota_service::decide_locally(const quota_ask& question) {
-    ++m_counters.own_part_decided;
+    ++m_counters.own_share_decided;
     const std::size_t share_count =
         std::max<std::size_t>({1, question.known_askers, m_homes.size(), m_expected_routers});
     return m_own_shares.decide(question, share_count, m_scheduler.now());
--- a/src/ferryroad/quotas/quota_service.hpp
+++ b/src/ferryroad/quotas/quota_service.hpp
@@ -39,8 +39,8 @@
 struct quota_counters {
     std::uint64_t asks_sent = 0;
     std::uint64_t asks_unanswered = 0;
-    std::uint64_t asks_decided = 0;      ///< As home, for other routers and for this one.
-    std::uint64_t own_part_decided = 0;  ///< By this router's own share, as no home answered.
+    std::uint64_t asks_decided = 0;       ///< As home, for other routers and for this one.
+    std::uint64_t own_share_decided = 0;  ///< By this router's own share, as no home answered.
 };
 
 /// Asks another router for a verdict. @return nothing if it doesn't answer in time; the timeout is
--- a/src/ferryroad/relay/tunables.hpp
+++ b/src/ferryroad/relay/tunables.hpp
@@ -126,7 +126,7 @@
     settings.lease.margin = std::chrono::milliseconds(250);
     settings.lease.renew_after = std::chrono::milliseconds(500);
     settings.lease.poll_period = std::chrono::milliseconds(800);
-    settings.look_period = std::chrono::milliseconds(50);
+    settings.check_period = std::chrono::milliseconds(50);
     return settings;
 }
 
--- a/src/ferryroad/router/membership/membership_service.cpp
+++ b/src/ferryroad/router/membership/membership_service.cpp
@@ -124,8 +124,8 @@
     }
 }
 
-void membership_service::spread_leaving(const base::engine_name& engine,
-                                        base::incarnation process) {
+void membership_service::gossip_engine_leaving(const base::engine_name& engine,
+                                               base::incarnation process) {
     detector_.spread({engine.value, process.value, true}, ports_.scheduler.now());
 }
 
--- a/src/ferryroad/router/membership/membership_service.hpp
+++ b/src/ferryroad/router/membership/membership_service.hpp
@@ -76,7 +76,7 @@
     void stop();
 
     /// Gossips that this process of an engine is leaving.
-    void spread_leaving(const base::engine_name& engine, base::incarnation process);
+    void gossip_engine_leaving(const base::engine_name& engine, base::incarnation process);
     /// Probes that router next. Call it after a call to the router failed.
     void suspect(const base::router_name& router) { detector_.probe_soon(router); }
 
--- a/src/ferryroad/router/node.cpp
+++ b/src/ferryroad/router/node.cpp
@@ -7,10 +7,10 @@
 #include "ferryroad/router/claims/table_claim_registry.hpp"
 #include "ferryroad/router/configuration/configuration_service.hpp"
 #include "ferryroad/router/membership/configuration_link.hpp"
+#include "ferryroad/router/membership/live_router_views.hpp"
 #include "ferryroad/router/membership/membership_service.hpp"
 #include "ferryroad/router/membership/prefix_link.hpp"
 #include "ferryroad/router/membership/quota_link.hpp"
-#include "ferryroad/router/membership/views.hpp"
 #include "ferryroad/router/node_status.hpp"
 #include "ferryroad/router/request/fair_admission.hpp"
 #include "ferryroad/router/request/routing_request_service.hpp"
@@ -77,7 +77,7 @@
                                directory.record_leaving(engine, process);
                            }});
         directory.on_leaving([this](const base::engine_name& engine, base::incarnation process) {
-            membership.spread_leaving(engine, process);
+            membership.gossip_engine_leaving(engine, process);
         });
     }
 
--- a/test/leases/presence_test.cpp
+++ b/test/leases/presence_test.cpp
@@ -69,9 +69,9 @@
             std::string prefix;
             const auto rows = co_await table.scan(std::move(prefix), platform::row_key(), 500);
             for (const platform::row& row : *rows) {
-                here.see(row);
+                here.update_row(row);
             }
-            here.look();
+            here.report_present_routers();
             co_await loop.scheduler.sleep_for(5ms);
         }
     }
@@ -118,11 +118,11 @@
     presence here(loop.scheduler, table, {base::router_name("a"), "at a"},
                   [&](const std::vector<present_router>& present) { count = present.size(); });
     const platform::row_key other("routers/b");
-    here.see({other, "1 at b", platform::row_version(5)});
-    here.look();
+    here.update_row({other, "1 at b", platform::row_version(5)});
+    here.report_present_routers();
     cr_assert_eq(count, 2);
-    here.see({other, "", platform::row_version(0)});
-    here.look();
+    here.update_row({other, "", platform::row_version(0)});
+    here.report_present_routers();
     cr_assert_eq(count, 1);
 }
 
@@ -132,10 +132,10 @@
     presence few(loop.scheduler, table, {base::router_name("a"), ""}, [](const auto&) {});
     cr_assert(few.period() == 10s);
     for (int number = 0; number < 400; ++number) {
-        few.see({platform::row_key("routers/r" + std::to_string(number)), "1 x",
-                 platform::row_version(1)});
+        few.update_row({platform::row_key("routers/r" + std::to_string(number)), "1 x",
+                        platform::row_version(1)});
     }
-    few.look();
+    few.report_present_routers();
     cr_assert(few.period() == 401 * 250ms);
 }
 
@@ -167,9 +167,9 @@
     presence here(loop.scheduler, table, {base::router_name("a"), "at a"}, [](const auto&) {});
     const platform::row_key other("routers/b");
     table.versions[other] = platform::row_version(7);
-    here.see({other, "1 at b", platform::row_version(5)});
-    here.remove_gone(base::router_name("b"));
-    here.remove_gone(base::router_name("unknown"));
+    here.update_row({other, "1 at b", platform::row_version(5)});
+    here.remove_router_row(base::router_name("b"));
+    here.remove_router_row(base::router_name("unknown"));
     const auto asked = [&] { return table.conditions.size() == 1; };
     cr_assert(loop.run([&] { return loop.until(asked); }));
     cr_assert(table.conditions.front().key == other);
@@ -184,9 +184,9 @@
     const platform::row_key own("routers/a");
     const auto listed = [&] { return here.is_listed(); };
     cr_assert(loop.run([&] { return loop.until(listed); }));
-    here.see({own, table.values[own], table.versions[own]});
+    here.update_row({own, table.values[own], table.versions[own]});
     const std::uint64_t before = table.last_version;
-    here.see({own, "", platform::row_version(0)});
+    here.update_row({own, "", platform::row_version(0)});
     loop.context.restart();
     const auto written = [&] { return table.last_version > before; };
     cr_assert(loop.run([&] { return loop.until(written); }));
--- a/test/relay/lease_router.hpp
+++ b/test/relay/lease_router.hpp
@@ -68,7 +68,7 @@
         all.lease.renew_after = std::chrono::milliseconds(50);
         all.lease.poll_period = std::chrono::milliseconds(20);
         all.lease.first_delay = std::chrono::milliseconds(5);
-        all.look_period = std::chrono::milliseconds(2);
+        all.check_period = std::chrono::milliseconds(2);
         return all;
     }
     owner_clock clock;
--- a/test/router/membership/links_test.cpp
+++ b/test/router/membership/links_test.cpp
@@ -1,8 +1,8 @@
 /// Typed calls between routers through the dispatcher, the configuration link and the prefix link.
 #include "emulator/platform/model_services.hpp"
 #include "ferryroad/router/membership/configuration_link.hpp"
+#include "ferryroad/router/membership/live_router_views.hpp"
 #include "ferryroad/router/membership/prefix_link.hpp"
-#include "ferryroad/router/membership/views.hpp"
 #include "test/router/membership/simulated_peers.hpp"
 
 #include <criterion/criterion.h>
--- a/test/router/membership/membership_service_test.cpp
+++ b/test/router/membership/membership_service_test.cpp
@@ -2,7 +2,7 @@
 #include "ferryroad/router/membership/membership_service.hpp"
 
 #include "ferryroad/peer/asio_transport.hpp"
-#include "ferryroad/router/membership/views.hpp"
+#include "ferryroad/router/membership/live_router_views.hpp"
 #include "ferryroad/runtime/asio_scheduler.hpp"
 #include "test/router/membership/simulated_peers.hpp"
 
@@ -103,7 +103,8 @@
     group.peers[1]->revision = base::revision(12);
     simulated_peer& reporter = *group.peers[3];
     reporter.scheduler.run([&] {
-        reporter.membership.spread_leaving(base::engine_name("engine-7"), base::incarnation(4));
+        reporter.membership.gossip_engine_leaving(base::engine_name("engine-7"),
+                                                  base::incarnation(4));
     });
     const auto is_informed = [&](const auto& peer) {
         const bool knows_revision = peer == group.peers[1] ||
