--- a/bench/simulation/engines/engine_client.cpp
+++ b/bench/simulation/engines/engine_client.cpp
@@ -62,7 +62,7 @@
 
   private:
     base::duration limit_for_next() const {
-        const base::duration silence = started_ ? limits_.token_silence : limits_.start_silence;
+        const base::duration silence = started_ ? limits_.token_timeout : limits_.start_timeout;
         const base::duration left = deadline_ - scheduler_.now();
         return std::max(base::duration::zero(), std::min(silence, left));
     }
--- a/src/ferryroad/engine/http_client.cpp
+++ b/src/ferryroad/engine/http_client.cpp
@@ -162,7 +162,7 @@
     base::duration next_event_limit() const {
         const tunables& limits = owner_.limits_;
         const base::duration silence =
-            checker_.started() ? limits.token_silence : limits.start_silence;
+            checker_.started() ? limits.token_timeout : limits.start_timeout;
         const base::duration left = deadline_ - owner_.scheduler_.now();
         return std::max(base::duration::zero(), std::min(silence, left));
     }
--- a/src/ferryroad/peer/asio_transport.cpp
+++ b/src/ferryroad/peer/asio_transport.cpp
@@ -121,7 +121,7 @@
 runtime::task<void> asio_transport::state::receive_datagrams() {
     const auto self = shared_from_this();
     // One byte more than allowed, to tell an oversized datagram from one of the largest size.
-    std::array<char, largest_datagram + 1> buffer{};
+    std::array<char, max_datagram_bytes + 1> buffer{};
     while (!stopped) {
         asio::ip::udp::endpoint from;
         const auto [failure, size] =
@@ -134,7 +134,7 @@
             continue;
         }
         counters.datagram_bytes_received += size;
-        if (size <= largest_datagram && handle_datagram) {
+        if (size <= max_datagram_bytes && handle_datagram) {
             const base::endpoint sender{from.address().to_string(), from.port()};
             handle_datagram(sender, std::string_view(buffer.data(), size));
         }
@@ -345,7 +345,7 @@
 void asio_transport::send(const base::endpoint& to, message_bytes bytes) {
     boost::system::error_code failure;
     const auto address = asio::ip::make_address(to.address, failure);
-    if (failure || state_->stopped || bytes.size() > largest_datagram) {
+    if (failure || state_->stopped || bytes.size() > max_datagram_bytes) {
         return;
     }
     const asio::ip::udp::endpoint asio_to(address, to.port);
--- a/src/ferryroad/peer/crash_message.hpp
+++ b/src/ferryroad/peer/crash_message.hpp
@@ -18,7 +18,7 @@
 
 /// A crash of an engine as observed by one router. Times are sent as ages because the clocks of
 /// routers differ.
-struct told_crash {
+struct observed_crash {
     base::engine_name engine;
     base::duration age{};  ///< Since the crash; millisecond precision on the wire.
     base::duration
@@ -26,29 +26,29 @@
     std::vector<core::quarantine::crash_candidate> candidates;
     std::uint32_t unnamed = 0;  ///< Further requests in progress that `candidates` omits.
 
-    friend bool operator==(const told_crash&, const told_crash&) = default;
+    friend bool operator==(const observed_crash&, const observed_crash&) = default;
 };
 
 /// Crashes observed by the sender, and requests cleared of suspicion.
-struct crash_news {
+struct crash_notice {
     base::router_name sender;
     /// Table owner's clock in milliseconds when the message was written; ages are relative to it. 0
     /// means that ages are relative to the arrival of the message.
     std::uint64_t owner_time = 0;
-    std::vector<told_crash> crashes;
+    std::vector<observed_crash> crashes;
     std::vector<core::quarantine::request_identity> cleared;  ///< An engine survived them.
 
-    friend bool operator==(const crash_news&, const crash_news&) = default;
+    friend bool operator==(const crash_notice&, const crash_notice&) = default;
 };
 
 /// Number of candidates of one crash, or of cleared requests, that always fits into a datagram.
-inline constexpr std::size_t requests_of_crash_datagram = 32;
+inline constexpr std::size_t max_requests_per_crash_datagram = 32;
 
 /// All functions of this file are thread-safe.
-message_bytes encode(const crash_news& news);
+message_bytes encode(const crash_notice& news);
 /// @return whether the datagram carries the identifier of this message; it may still be malformed.
-bool is_crash_news(std::string_view bytes);
+bool is_crash_notice(std::string_view bytes);
 /// @return the message, or `malformed`.
-result<crash_news> decode_crash_news(std::string_view bytes);
+result<crash_notice> decode_crash_notice(std::string_view bytes);
 
 }  // namespace ferryroad::peer
--- a/src/ferryroad/peer/crash_message_codec.cpp
+++ b/src/ferryroad/peer/crash_message_codec.cpp
@@ -46,7 +46,7 @@
     return requests;
 }
 
-offset<wire::EngineCrash> write_crash(buffer_builder& builder, const told_crash& crash) {
+offset<wire::EngineCrash> write_crash(buffer_builder& builder, const observed_crash& crash) {
     std::vector<std::uint64_t> digests;
     std::vector<std::uint8_t> silent;
     for (const crash_candidate& one : crash.candidates) {
@@ -60,8 +60,8 @@
                                    crash.unnamed, write_age(crash.began_age));
 }
 
-told_crash read_crash(field_reader& reader, const wire::EngineCrash& encoded) {
-    told_crash crash;
+observed_crash read_crash(field_reader& reader, const wire::EngineCrash& encoded) {
+    observed_crash crash;
     crash.engine = reader.name<base::engine_name>(encoded.engine());
     crash.age = read_age(reader, encoded.age_milliseconds());
     crash.began_age = read_age(reader, encoded.began_age_milliseconds());
@@ -78,8 +78,8 @@
 
 }  // namespace
 
-message_bytes encode(const crash_news& news) {
-    buffer_builder builder(largest_datagram);
+message_bytes encode(const crash_notice& news) {
+    buffer_builder builder(max_datagram_bytes);
     const auto crashes = write_list<wire::EngineCrash>(
         builder, news.crashes, [&](const auto& one) { return write_crash(builder, one); });
     std::vector<std::uint64_t> digests;
@@ -93,18 +93,18 @@
                   crash_identifier);
 }
 
-bool is_crash_news(std::string_view bytes) {
+bool is_crash_notice(std::string_view bytes) {
     return has_identifier(bytes, crash_identifier);
 }
 
-result<crash_news> decode_crash_news(std::string_view bytes) {
+result<crash_notice> decode_crash_notice(std::string_view bytes) {
     const aligned_bytes aligned(bytes);
     const auto* root = verified_root<wire::CrashNews>(aligned.view(), crash_identifier);
     if (root == nullptr) {
         return malformed("not a crash message");
     }
     field_reader reader;
-    crash_news news;
+    crash_notice news;
     news.sender = reader.name<base::router_name>(root->sender());
     news.owner_time = root->owner_milliseconds();
     news.crashes = reader.list(root->crashes(), max_entries,
--- a/src/ferryroad/peer/datagram_codec.cpp
+++ b/src/ferryroad/peer/datagram_codec.cpp
@@ -57,7 +57,7 @@
 }  // namespace
 
 message_bytes encode(const datagram& message) {
-    buffer_builder builder(largest_datagram);
+    buffer_builder builder(max_datagram_bytes);
     const auto members = write_list<wire::MemberUpdate>(
         builder, message.members,
         [&](const membership::member_update& member) { return write_member(builder, member); });
--- a/src/ferryroad/peer/packed_rows.hpp
+++ b/src/ferryroad/peer/packed_rows.hpp
@@ -15,7 +15,7 @@
 
 /// Lower bound of the compression ratio of rows, used to estimate the compressed size before
 /// compressing.
-inline constexpr std::size_t least_packing_ratio = 4;
+inline constexpr std::size_t min_compression_ratio = 4;
 
 /// Lower bound of the encoded size of a row. It limits the number of rows in a call of maximum
 /// size.
--- a/src/ferryroad/peer/release_message.hpp
+++ b/src/ferryroad/peer/release_message.hpp
@@ -49,7 +49,7 @@
 };
 
 /// Number of routes in a report that always fits into a datagram.
-inline constexpr std::size_t routes_of_release_report = 3;
+inline constexpr std::size_t max_routes_per_release_report = 3;
 
 /// All functions of this file are thread-safe.
 message_bytes encode(const release_report& report);
--- a/src/ferryroad/peer/release_message_codec.cpp
+++ b/src/ferryroad/peer/release_message_codec.cpp
@@ -136,7 +136,7 @@
 }  // namespace
 
 message_bytes encode(const release_report& report) {
-    buffer_builder builder(largest_datagram);
+    buffer_builder builder(max_datagram_bytes);
     const auto routes = write_list<wire::ReleaseRoute>(
         builder, report.counts,
         [&](const auto& each) { return write_route(builder, each.first.value, each.second); });
@@ -151,7 +151,7 @@
 }
 
 message_bytes encode(const release_notice& notice) {
-    buffer_builder builder(largest_datagram);
+    buffer_builder builder(max_datagram_bytes);
     const phase_notice told = notice.told.value_or(phase_notice{});
     const auto phase = notice.told ? write_phase(told.phase) : wire::ReleasePhase::none;
     const auto refused = write_versions(builder, told.refused);
--- a/src/ferryroad/peer/traffic_notice.hpp
+++ b/src/ferryroad/peer/traffic_notice.hpp
@@ -18,12 +18,12 @@
 namespace ferryroad::peer {
 
 /// Version of the weights that an engine has reported.
-struct seen_weights {
+struct observed_weights {
     base::engine_name engine;
     std::string model;
     std::uint64_t version = 0;
 
-    friend bool operator==(const seen_weights&, const seen_weights&) = default;
+    friend bool operator==(const observed_weights&, const observed_weights&) = default;
 };
 
 /// Weights that an engine is about to load.
@@ -64,7 +64,7 @@
     /// sender's load.
     bool loads_complete = false;
     std::vector<core::placement::router_load> loads;
-    std::vector<seen_weights> weights;
+    std::vector<observed_weights> weights;
     std::vector<expected_state> expected;
     std::vector<holder_changes> changes;
     std::vector<loading_weights> loading;
--- a/src/ferryroad/peer/traffic_notice_codec.cpp
+++ b/src/ferryroad/peer/traffic_notice_codec.cpp
@@ -64,7 +64,7 @@
         saturate(static_cast<std::uint64_t>(std::max<std::int64_t>(0, refuses))));
 }
 
-offset<wire::EngineWeights> write_weights(buffer_builder& builder, const seen_weights& seen) {
+offset<wire::EngineWeights> write_weights(buffer_builder& builder, const observed_weights& seen) {
     const auto engine = write_shared(builder, seen.engine.value);
     const auto model = write_shared(builder, seen.model);
     return wire::CreateEngineWeights(builder, engine, model, seen.version);
@@ -97,9 +97,9 @@
             std::chrono::milliseconds(load.refuses_milliseconds())};
 }
 
-seen_weights read_weights(field_reader& reader, const wire::EngineWeights& seen) {
-    seen_weights weights{reader.name<base::engine_name>(seen.engine()),
-                         reader.text(seen.model(), codec_limits::name_bytes), seen.version()};
+observed_weights read_weights(field_reader& reader, const wire::EngineWeights& seen) {
+    observed_weights weights{reader.name<base::engine_name>(seen.engine()),
+                             reader.text(seen.model(), codec_limits::name_bytes), seen.version()};
     reader.require(!weights.model.empty(), "a model");
     return weights;
 }
@@ -130,7 +130,7 @@
 }  // namespace
 
 message_bytes encode(const traffic_notice& notice) {
-    buffer_builder builder(largest_datagram);
+    buffer_builder builder(max_datagram_bytes);
     const auto loads = write_list<wire::EngineLoad>(
         builder, notice.loads, [&](const auto& one) { return write_load(builder, one); });
     const auto weights = write_list<wire::EngineWeights>(
--- a/src/ferryroad/peer/transport.hpp
+++ b/src/ferryroad/peer/transport.hpp
@@ -23,7 +23,7 @@
 using message_bytes = std::string;
 
 /// Largest datagram that is sent, in bytes; it fits into an Ethernet frame.
-inline constexpr std::size_t largest_datagram = 1400;
+inline constexpr std::size_t max_datagram_bytes = 1400;
 /// Largest request or response of a call, in bytes; a snapshot of the configuration fits.
 inline constexpr std::size_t max_call_bytes = std::size_t{16} * 1024 * 1024;
 
--- a/src/ferryroad/platform/call_pacer.cpp
+++ b/src/ferryroad/platform/call_pacer.cpp
@@ -34,9 +34,10 @@
 }
 
 void call_pacer::refused(base::duration retry_after) {
-    const base::duration doubled = limits_.first_pause * (1U << std::min(refusals_, max_doublings));
+    const base::duration doubled =
+        limits_.initial_pause * (1U << std::min(refusals_, max_doublings));
     ++refusals_;
-    const base::duration pause = std::max(retry_after, std::min(doubled, limits_.longest_pause));
+    const base::duration pause = std::max(retry_after, std::min(doubled, limits_.max_pause));
     const double share = 1.0 + max_jitter_share * scheduler_.random().unit();
     const base::duration jittered = base::from_seconds(base::to_seconds(pause) * share);
     paused_until_ = std::max(paused_until_, scheduler_.now() + jittered);
--- a/src/ferryroad/platform/call_pacer.hpp
+++ b/src/ferryroad/platform/call_pacer.hpp
@@ -14,9 +14,9 @@
     double calls_per_second =
         5.0;             ///< Limit of this process; the service's limit is shared by all.
     double burst = 3.0;  ///< Calls that may be sent at once after idle time.
-    base::duration first_pause =
+    base::duration initial_pause =
         std::chrono::milliseconds(50);  ///< Doubles with each refusal in a row.
-    base::duration longest_pause = std::chrono::seconds(2);
+    base::duration max_pause = std::chrono::seconds(2);
 };
 
 /// Shared by all callers of one service. Must be used from the event loop's thread and outlive the
--- a/src/ferryroad/relay/crash_exchange.cpp
+++ b/src/ferryroad/relay/crash_exchange.cpp
@@ -41,14 +41,14 @@
     m_ports.scheduler.spawn(component, send_cleared(request));
 }
 
-peer::told_crash crash_exchange::to_message(const engine_crash& crash) const {
+peer::observed_crash crash_exchange::to_message(const engine_crash& crash) const {
     const base::monotonic_time now = m_ports.scheduler.now();
     return {crash.engine, now - crash.at, now - crash.began, crash.candidates, crash.unnamed};
 }
 
 runtime::task<void> crash_exchange::send_crash(engine_crash crash) {
     for (std::uint32_t sent = 0; sent < m_settings.send_count; ++sent) {
-        peer::crash_news report;
+        peer::crash_notice report;
         report.sender = m_self;
         report.crashes = {to_message(crash)};
         send_to_all(report);
@@ -58,7 +58,7 @@
 
 runtime::task<void> crash_exchange::send_cleared(request_identity request) {
     for (std::uint32_t sent = 0; sent < m_settings.send_count; ++sent) {
-        peer::crash_news report;
+        peer::crash_notice report;
         report.sender = m_self;
         report.cleared = {request};
         send_to_all(report);
@@ -66,7 +66,7 @@
     }
 }
 
-void crash_exchange::send_to_all(const peer::crash_news& report) {
+void crash_exchange::send_to_all(const peer::crash_notice& report) {
     const peer::message_bytes bytes = peer::encode(report);
     for (const peer_address& router : m_routers) {
         if (router.name != m_self) {
@@ -78,15 +78,15 @@
 // ---- Receiving ----
 
 void crash_exchange::handle_datagram(const base::endpoint& from, std::string_view bytes) {
-    const auto report = peer::decode_crash_news(bytes);
+    const auto report = peer::decode_crash_notice(bytes);
     if (!report) {
         ++m_malformed;
         return;
     }
     const base::monotonic_time now = m_ports.scheduler.now();
-    peer::crash_news answer;
+    peer::crash_notice answer;
     answer.sender = m_self;
-    for (const peer::told_crash& one : report->crashes) {
+    for (const peer::observed_crash& one : report->crashes) {
         const engine_crash crash{one.engine, now - one.age, now - one.began_age, one.candidates,
                                  one.unnamed};
         for (const request_identity& cleared_request :
@@ -98,7 +98,8 @@
         learn_cleared(one, report->sender.value);
     }
     if (!answer.cleared.empty()) {
-        answer.cleared.resize(std::min(answer.cleared.size(), peer::requests_of_crash_datagram));
+        answer.cleared.resize(
+            std::min(answer.cleared.size(), peer::max_requests_per_crash_datagram));
         m_ports.transport.send(from, peer::encode(answer));
     }
 }
@@ -127,7 +128,7 @@
 }
 
 void crash_exchange::learn_row(const std::string& value) {
-    const auto report = peer::decode_crash_news(value);
+    const auto report = peer::decode_crash_notice(value);
     if (!report) {
         ++m_malformed;
         runtime::log(runtime::log_level::warning, component, "crash row ignored: cannot be decoded",
@@ -136,7 +137,7 @@
     }
     const base::monotonic_time written =
         m_ports.clock.to_local_latest(static_cast<std::int64_t>(report->owner_time));
-    for (const peer::told_crash& one : report->crashes) {
+    for (const peer::observed_crash& one : report->crashes) {
         const engine_crash crash{one.engine, written - one.age, written - one.began_age,
                                  one.candidates, one.unnamed};
         m_ports.quarantine.learn(crash, report->sender.value);
@@ -186,7 +187,7 @@
             continue;
         }
         m_row_changed = false;
-        peer::crash_news report;
+        peer::crash_notice report;
         report.sender = m_self;
         report.owner_time =
             static_cast<std::uint64_t>(m_ports.clock.to_owner_earliest(m_ports.scheduler.now()));
--- a/src/ferryroad/relay/crash_exchange.hpp
+++ b/src/ferryroad/relay/crash_exchange.hpp
@@ -88,10 +88,10 @@
     /// @return whether any of them named it.
     bool remove_own(const core::quarantine::request_identity& request);
     void add_own(const core::quarantine::engine_crash& crash);
-    peer::told_crash to_message(const core::quarantine::engine_crash& crash) const;
+    peer::observed_crash to_message(const core::quarantine::engine_crash& crash) const;
     runtime::task<void> send_crash(core::quarantine::engine_crash crash);
     runtime::task<void> send_cleared(core::quarantine::request_identity request);
-    void send_to_all(const peer::crash_news& report);
+    void send_to_all(const peer::crash_notice& report);
     void schedule_row_write();
     runtime::task<void> write_row();
 
--- a/src/ferryroad/relay/peer_exchange.cpp
+++ b/src/ferryroad/relay/peer_exchange.cpp
@@ -61,7 +61,7 @@
     }
 }
 
-void peer_exchange::queue_seen_weights(peer::seen_weights seen) {
+void peer_exchange::queue_seen_weights(peer::observed_weights seen) {
     if (m_running && !m_applying_notice) {
         m_pending_weights.push_back(std::move(seen));
     }
@@ -84,7 +84,7 @@
         notice.loading.push_back(one);
         send_if_full(m_settings.max_weights);
     }
-    for (const peer::seen_weights& one : announcement.loaded) {
+    for (const peer::observed_weights& one : announcement.loaded) {
         notice.weights.push_back(one);
         send_if_full(m_settings.max_weights);
     }
@@ -228,7 +228,7 @@
         m_ports.loads.state(notice->sender, notice->loads, now);
     }
     m_applying_notice = true;
-    for (const peer::seen_weights& seen : notice->weights) {
+    for (const peer::observed_weights& seen : notice->weights) {
         m_ports.registry.record_version(seen.engine, seen.model, seen.version);
     }
     m_applying_notice = false;
--- a/src/ferryroad/relay/peer_exchange.hpp
+++ b/src/ferryroad/relay/peer_exchange.hpp
@@ -47,7 +47,7 @@
 /// What the router that runs a weights rollout knows about engines before other routers do.
 struct rollout_announcement {
     std::vector<peer::loading_weights> loading;
-    std::vector<peer::seen_weights> loaded;
+    std::vector<peer::observed_weights> loaded;
 
     bool empty() const { return loading.empty() && loaded.empty(); }
     friend bool operator==(const rollout_announcement&, const rollout_announcement&) = default;
@@ -98,7 +98,7 @@
                     const std::vector<core::prefix::scoped_part>& parts,
                     std::uint64_t prefill_tokens);
     /// Records that an engine reported newer weights, for the next notice.
-    void queue_seen_weights(peer::seen_weights weights);
+    void queue_seen_weights(peer::observed_weights weights);
     /// Sends an announcement of the rollout to the routers of all blocks without delay: an engine
     /// refuses requests while it loads weights.
     void announce(const rollout_announcement& announcement);
@@ -141,7 +141,7 @@
     peer_exchange_settings m_settings;
     std::vector<core::placement::router_load> m_sent_loads;  ///< As last sent to peers.
     base::monotonic_time m_loads_sent_at{};
-    std::vector<peer::seen_weights> m_pending_weights;
+    std::vector<peer::observed_weights> m_pending_weights;
     std::vector<peer::expected_state> m_pending_expected;
     std::vector<peer::holder_changes> m_pending_changes;
     std::set<base::router_name> m_logged_live;  ///< As last written to the log.
--- a/src/ferryroad/relay/release_service.cpp
+++ b/src/ferryroad/relay/release_service.cpp
@@ -183,7 +183,7 @@
     head.unrepeatable = m_traffic.unrepeatable_at_replaced(own.order.pool);
     std::vector<peer::release_report> reports{head};
     for (const auto& [route, counted] : own.counts) {
-        if (reports.back().counts.size() == peer::routes_of_release_report) {
+        if (reports.back().counts.size() == peer::max_routes_per_release_report) {
             reports.push_back(head);
         }
         reports.back().counts.emplace(route, counted);
--- a/src/ferryroad/relay/tunables.hpp
+++ b/src/ferryroad/relay/tunables.hpp
@@ -97,7 +97,7 @@
 /// @return size in bytes of an owner's answer above which its rows are most likely too large to be
 /// passed on. Rows are base64 in the answer: 4 characters for 3 bytes.
 inline std::size_t large_answer_bytes_for(double link_megabits) {
-    return relayed_bytes_for(link_megabits) * peer::least_packing_ratio * 4 / 3;
+    return relayed_bytes_for(link_megabits) * peer::min_compression_ratio * 4 / 3;
 }
 
 /// Number of routers of its zone that a starting router gets as contacts. Enough that few routers
--- a/test/coordination/membership/scale_test.cpp
+++ b/test/coordination/membership/scale_test.cpp
@@ -103,5 +103,5 @@
     group.cut(0);
     cr_assert(group.run_until(converged, limit).has_value());
     cr_assert_lt(bytes.report("healed"), budget);
-    cr_assert_leq(bytes.largest, peer::largest_datagram);
+    cr_assert_leq(bytes.largest, peer::max_datagram_bytes);
 }
--- a/test/engine/engine_fixture.hpp
+++ b/test/engine/engine_fixture.hpp
@@ -42,12 +42,12 @@
 
 /// Timeouts long enough not to expire on a heavily loaded machine.
 inline tunables generous_limits() {
-    return {.admission = 20s, .start_silence = 20s, .token_silence = 20s, .control = 20s};
+    return {.admission = 20s, .start_timeout = 20s, .token_timeout = 20s, .control = 20s};
 }
 
 /// Timeouts for tests in which a fault must make them expire.
 inline tunables short_limits() {
-    return {.admission = 150ms, .start_silence = 150ms, .token_silence = 150ms, .control = 150ms};
+    return {.admission = 150ms, .start_timeout = 150ms, .token_timeout = 150ms, .control = 150ms};
 }
 
 struct engine_fixture {
--- a/test/peer/asio_transport_test.cpp
+++ b/test/peer/asio_transport_test.cpp
@@ -259,13 +259,13 @@
     transports.server.on_datagram([&](const base::endpoint& /*from*/, std::string_view bytes) {
         sizes.push_back(bytes.size());
     });
-    transports.client.send(transports.address, std::string(peer::largest_datagram + 1, 'x'));
+    transports.client.send(transports.address, std::string(peer::max_datagram_bytes + 1, 'x'));
     asio::ip::udp::socket raw(transports.context, asio::ip::udp::v4());
     const asio::ip::udp::endpoint to(asio::ip::make_address(transports.address.address),
                                      transports.address.port);
     raw.send_to(asio::buffer(std::string(9000, 'x')), to);
-    transports.client.send(transports.address, std::string(peer::largest_datagram, 'x'));
+    transports.client.send(transports.address, std::string(peer::max_datagram_bytes, 'x'));
     transports.run_until([&] { return !sizes.empty(); });
     cr_assert_eq(sizes.size(), 1);
-    cr_assert_eq(sizes.front(), peer::largest_datagram);
+    cr_assert_eq(sizes.front(), peer::max_datagram_bytes);
 }
--- a/test/peer/crash_message_test.cpp
+++ b/test/peer/crash_message_test.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-crash_news sample() {
-    crash_news news;
+crash_notice sample() {
+    crash_notice news;
     news.sender.value = "r1";
     news.owner_time = 123456789;
     news.crashes.push_back(
@@ -29,39 +29,39 @@
 }  // namespace
 
 Test(crash_message, round_trips) {
-    const auto news = decode_crash_news(encode(sample()));
+    const auto news = decode_crash_notice(encode(sample()));
     cr_assert(news.has_value());
     cr_assert(*news == sample());
-    cr_assert(is_crash_news(encode(sample())));
+    cr_assert(is_crash_notice(encode(sample())));
     cr_assert_not(is_release_report(encode(sample())));
-    cr_assert_not(is_crash_news(""));
+    cr_assert_not(is_crash_notice(""));
 }
 
 Test(crash_message, largest_message_fits_into_a_datagram) {
-    crash_news news;
+    crash_notice news;
     news.sender.value = std::string(64, 'r');
-    told_crash crash{base::engine_name(std::string(64, 'e')), 100h, 101h, {}, 9};
-    for (std::uint64_t number = 0; number < requests_of_crash_datagram; ++number) {
+    observed_crash crash{base::engine_name(std::string(64, 'e')), 100h, 101h, {}, 9};
+    for (std::uint64_t number = 0; number < max_requests_per_crash_datagram; ++number) {
         crash.candidates.push_back({{{~number, ~number}}, true});
     }
     news.crashes.push_back(crash);
-    cr_assert_leq(encode(news).size(), largest_datagram);
-    crash_news cleared;
+    cr_assert_leq(encode(news).size(), max_datagram_bytes);
+    crash_notice cleared;
     cleared.sender.value = std::string(64, 'r');
-    cleared.cleared.resize(requests_of_crash_datagram);
-    cr_assert_leq(encode(cleared).size(), largest_datagram);
+    cleared.cleared.resize(max_requests_per_crash_datagram);
+    cr_assert_leq(encode(cleared).size(), max_datagram_bytes);
 }
 
 Test(crash_message, invalid_content_is_malformed) {
-    crash_news no_sender = sample();
+    crash_notice no_sender = sample();
     no_sender.sender.value.clear();
-    cr_assert_not(decode_crash_news(encode(no_sender)).has_value());
-    crash_news no_engine = sample();
+    cr_assert_not(decode_crash_notice(encode(no_sender)).has_value());
+    crash_notice no_engine = sample();
     no_engine.crashes[0].engine.value.clear();
-    cr_assert_not(decode_crash_news(encode(no_engine)).has_value());
-    crash_news excessive_age = sample();
+    cr_assert_not(decode_crash_notice(encode(no_engine)).has_value());
+    crash_notice excessive_age = sample();
     excessive_age.crashes[0].age = 100h * 1000;
-    cr_assert_not(decode_crash_news(encode(excessive_age)).has_value());
+    cr_assert_not(decode_crash_notice(encode(excessive_age)).has_value());
 }
 
 Test(crash_message, random_corruption_does_not_crash) {
@@ -73,6 +73,6 @@
             bytes[random.below(bytes.size())] = static_cast<char>(random.below(256));
         }
         bytes.resize(bytes.size() - random.below(3) * random.below(bytes.size()) / 2);
-        (void)decode_crash_news(bytes);
+        (void)decode_crash_notice(bytes);
     }
 }
--- a/test/peer/release_message_test.cpp
+++ b/test/peer/release_message_test.cpp
@@ -86,14 +86,14 @@
 Test(release_message, full_reports_fit_into_a_datagram) {
     release_report report = sample_report();
     report.counts.clear();
-    for (std::size_t index = 0; index < routes_of_release_report; ++index) {
+    for (std::size_t index = 0; index < max_routes_per_release_report; ++index) {
         auto& counted =
             report.counts[base::route_name("a-route-with-a-long-name-" + std::to_string(index))];
         counted.current.durations.fill(1);
         counted.canary.durations.fill(1);
         counted.current.answered = counted.canary.answered = 32;
     }
-    cr_assert_leq(encode(report).size(), largest_datagram);
+    cr_assert_leq(encode(report).size(), max_datagram_bytes);
     cr_assert(*decode_release_report(encode(report)) == report);
 }
 
--- a/test/peer/table_call_test.cpp
+++ b/test/peer/table_call_test.cpp
@@ -116,7 +116,8 @@
 Test(table_call, list_of_20000_engines_is_compressed_into_one_answer) {
     const auto rows = engine_rows(20'000);
     const table_answer answer = packed_answer(rows);
-    cr_assert_lt(answer.packed->block.size() * least_packing_ratio, answer.packed->unpacked_bytes);
+    cr_assert_lt(answer.packed->block.size() * min_compression_ratio,
+                 answer.packed->unpacked_bytes);
     const auto decoded = decode_table_answer(encode(answer));
     cr_assert(decoded.has_value());
     cr_assert(decoded->rows == rows);
--- a/test/peer/traffic_notice_test.cpp
+++ b/test/peer/traffic_notice_test.cpp
@@ -50,7 +50,7 @@
         notice.loads.push_back({base::engine_name(name), 30, 100000, 100ms});
     }
     notice.loading.clear();  // Sent in separate notices, checked below.
-    cr_assert_leq(encode(notice).size(), largest_datagram);
+    cr_assert_leq(encode(notice).size(), max_datagram_bytes);
     traffic_notice rollout;
     rollout.sender.value = "front-with-a-long-name-1";
     rollout.zone.value = "a-zone-with-a-long-name";
@@ -58,14 +58,14 @@
         const std::string name = "i-0123456789" + std::to_string(index);
         rollout.loading.push_back({base::engine_name(name), "a-model-of-a-long-name", 1000, 9s});
     }
-    cr_assert_leq(encode(rollout).size(), largest_datagram);
+    cr_assert_leq(encode(rollout).size(), max_datagram_bytes);
     traffic_notice changes;
     changes.sender.value = "front-with-a-long-name-1";
     changes.changes = {{base::engine_name("i-0123456789"), 1, 1, 60, {}}};
     for (std::uint64_t part = 0; part < 64; ++part) {
         changes.changes[0].parts.push_back({part_key(part), 100});
     }
-    cr_assert_leq(encode(changes).size(), largest_datagram);
+    cr_assert_leq(encode(changes).size(), max_datagram_bytes);
 }
 
 Test(traffic_notice, invalid_content_is_malformed) {
