--- a/emulator/platform/platform_answers.cpp
+++ b/emulator/platform/platform_answers.cpp
@@ -1,6 +1,6 @@
 #include "emulator/platform/platform_answers.hpp"
 
-#include "ferryroad/http/error_answer.hpp"
+#include "ferryroad/http/error_response.hpp"
 #include "ferryroad/http/json.hpp"
 
 #include <boost/json/object.hpp>
@@ -53,26 +53,26 @@
 }
 
 http::response bad_request(const http::error& fault) {
-    return http::error_answer(status_bad_request,
-                              {"invalid_request_error", "malformed", fault.message});
+    return http::error_response(status_bad_request,
+                                {"invalid_request_error", "malformed", fault.message});
 }
 
 http::response not_found(std::string_view what) {
     const std::string message = std::string(what) + " is not here";
-    return http::error_answer(status_not_found, {"invalid_request_error", "not_found", message});
+    return http::error_response(status_not_found, {"invalid_request_error", "not_found", message});
 }
 
 http::response wrong_method() {
-    return http::error_answer(status_wrong_method, {"invalid_request_error", "wrong_method",
-                                                    "this address has no such method"});
+    return http::error_response(status_wrong_method, {"invalid_request_error", "wrong_method",
+                                                      "this address has no such method"});
 }
 
 http::response refusal(const call_decision& decision) {
     if (decision.outcome == call_decision::verdict::rate_limited) {
         return rate_limited(decision.retry_after);
     }
-    return http::error_answer(status_unavailable, {"server_error", "outage",
-                                                   "the platform is down; nothing was changed"});
+    return http::error_response(status_unavailable, {"server_error", "outage",
+                                                     "the platform is down; nothing was changed"});
 }
 
 http::response weights_answer(const weights_transfer& transfer) {
--- a/src/ferryroad/base/hash.cpp
+++ b/src/ferryroad/base/hash.cpp
@@ -15,7 +15,7 @@
     return XXH3_64bits(numbers.data(), sizeof(numbers));
 }
 
-wide_hash hash_fields(std::initializer_list<std::string_view> fields) {
+hash128 hash_fields(std::initializer_list<std::string_view> fields) {
     std::vector<XXH128_hash_t> field_hashes;
     field_hashes.reserve(fields.size());
     for (const std::string_view field : fields) {
--- a/src/ferryroad/base/hash.hpp
+++ b/src/ferryroad/base/hash.hpp
@@ -16,19 +16,19 @@
 std::uint64_t hash_pair(std::uint64_t first, std::uint64_t second);
 
 /// A 128-bit hash: wide enough that accidental collisions can be ruled out in practice.
-struct wide_hash {
+struct hash128 {
     std::uint64_t high = 0;
     std::uint64_t low = 0;
 
-    friend bool operator==(const wide_hash&, const wide_hash&) = default;
-    friend bool operator<(const wide_hash& first, const wide_hash& second) {
+    friend bool operator==(const hash128&, const hash128&) = default;
+    friend bool operator<(const hash128& first, const hash128& second) {
         return first.high != second.high ? first.high < second.high : first.low < second.low;
     }
 };
 
 /// @return the 128-bit XXH3 hash of the hashes of the fields, in order. Hashing each field by
 /// itself makes {"ab", "c"} and {"a", "bc"} differ. Thread-safe.
-wide_hash hash_fields(std::initializer_list<std::string_view> fields);
+hash128 hash_fields(std::initializer_list<std::string_view> fields);
 
 /// @return the score of `member` for `key` in rendezvous hashing; the member with the highest score
 /// is chosen.
--- a/src/ferryroad/caller/caller_front.hpp
+++ b/src/ferryroad/caller/caller_front.hpp
@@ -31,7 +31,7 @@
 
     /// Adds the headers that every answer carries to an error answer that the HTTP server
     /// produces itself: a request id, and the statement that nothing was executed. Pass it to
-    /// `http::server::complete_refusals`.
+    /// `http::server::set_refusal_hook`.
     void complete_refusal(http::response& answer);
 
   private:
--- a/src/ferryroad/core/quarantine/request_identity.hpp
+++ b/src/ferryroad/core/quarantine/request_identity.hpp
@@ -21,7 +21,7 @@
 
 /// Digest of a request's content. All functions of this file are thread-safe.
 struct request_identity {
-    base::wide_hash digest;
+    base::hash128 digest;
 
     friend bool operator==(const request_identity&, const request_identity&) = default;
     friend bool operator<(const request_identity& first, const request_identity& second) {
--- a/src/ferryroad/daemon/daemon.cpp
+++ b/src/ferryroad/daemon/daemon.cpp
@@ -78,7 +78,7 @@
           operators(
               {node.configuration(), node.control(), node.status(), node.selector(), scheduler}) {
         node.observe_requests(executions);
-        callers.complete_refusals(
+        callers.set_refusal_hook(
             [this](http::response& answer) { front.complete_refusal(answer); });
     }
 
--- a/src/ferryroad/http/client.cpp
+++ b/src/ferryroad/http/client.cpp
@@ -15,11 +15,11 @@
 
 client::~client() = default;
 
-bool client::keeps_connection(const base::endpoint& address) const {
+bool client::has_idle_connection(const base::endpoint& address) const {
     return state_->pool->has_idle_connection(address);
 }
 
-runtime::task<bool> client::is_refused(base::endpoint address) {
+runtime::task<bool> client::is_connection_refused(base::endpoint address) {
     const std::shared_ptr<connection> link = state_->pool->make();
     link->set_timeout(state_->pool->limits().connect);
     const boost::system::error_code failure = co_await link->connect(address);
--- a/src/ferryroad/http/client.hpp
+++ b/src/ferryroad/http/client.hpp
@@ -71,7 +71,7 @@
     /// Request header that every response to this request echoes. A response with another value
     /// belongs to an earlier request on the connection: it is skipped, and the connection is not
     /// reused.
-    std::optional<header> echoed;
+    std::optional<header> echoed_header;
     bool fresh_connection = false;  ///< Opens a new connection instead of taking an idle one.
     /// If set, called once the connection is open, right before the first byte is written: opening
     /// a connection takes time, and more if the process was suspended meanwhile, so that the reason
@@ -103,10 +103,10 @@
 
     /// @return whether the pool holds an idle connection to the address, so that a request probably
     /// doesn't have to open one.
-    bool keeps_connection(const base::endpoint& address) const;
+    bool has_idle_connection(const base::endpoint& address) const;
     /// Opens a connection and closes it. @return whether the connection was refused, that is,
     /// nothing listens at the address; false for a timeout or any other error.
-    runtime::task<bool> is_refused(base::endpoint address);
+    runtime::task<bool> is_connection_refused(base::endpoint address);
     /// Sends a request and reads the whole response.
     /// @param limit time for the whole exchange.
     runtime::task<result<response>> send(const base::endpoint& address, request message,
--- a/src/ferryroad/http/client_exchange.cpp
+++ b/src/ferryroad/http/client_exchange.cpp
@@ -172,9 +172,9 @@
     }
 }
 
-void exchange::enable_relay_mode(std::optional<header> echoed) {
+void exchange::enable_relay_mode(std::optional<header> echoed_header) {
     relayed_ = true;
-    echoed_ = std::move(echoed);
+    echoed_ = std::move(echoed_header);
 }
 
 bool exchange::answers_other_request() const {
@@ -368,7 +368,7 @@
     const response_decoder::limits limits{answer_header_bytes, std::nullopt};
     auto attempt = std::make_unique<exchange>(pool, parameters.address, limits,
                                               parameters.message.method == "HEAD");
-    attempt->enable_relay_mode(std::move(options.echoed));
+    attempt->enable_relay_mode(std::move(options.echoed_header));
     const auto connected = co_await attempt->connect(options.fresh_connection, deadline);
     if (!connected) {
         co_return connected.error();
--- a/src/ferryroad/http/client_exchange.hpp
+++ b/src/ferryroad/http/client_exchange.hpp
@@ -41,8 +41,8 @@
     exchange& operator=(const exchange&) = delete;
 
     /// Selects the behaviour of `client::relay`. Call it before `start`.
-    /// @param echoed see `relay_options`.
-    void enable_relay_mode(std::optional<header> echoed);
+    /// @param echoed_header see `relay_options`.
+    void enable_relay_mode(std::optional<header> echoed_header);
 
     /// Takes an idle connection from the pool, or opens one within the pool's connect timeout and
     /// before `deadline`.
--- a/src/ferryroad/http/error_answer.cpp
+++ b/src/ferryroad/http/error_response.cpp
@@ -1,4 +1,4 @@
-#include "ferryroad/http/error_answer.hpp"
+#include "ferryroad/http/error_response.hpp"
 
 #include "ferryroad/http/json.hpp"
 
@@ -6,7 +6,7 @@
 
 namespace ferryroad::http {
 
-response error_answer(unsigned status, const error_text& text) {
+response error_response(unsigned status, const error_text& text) {
     boost::json::object fields;
     fields["type"] = text.type;
     fields["code"] = text.code;
--- a/src/ferryroad/http/error_answer.hpp
+++ b/src/ferryroad/http/error_response.hpp
@@ -16,6 +16,6 @@
 };
 
 /// @return a response with that status and the JSON error body.
-response error_answer(unsigned status, const error_text& text);
+response error_response(unsigned status, const error_text& text);
 
 }  // namespace ferryroad::http
--- a/src/ferryroad/http/server.cpp
+++ b/src/ferryroad/http/server.cpp
@@ -156,11 +156,11 @@
     state_->shared->limits = limits;
 }
 
-void server::begin_leaving() {
+void server::disable_keep_alive() {
     state_->shared->leaving = true;
 }
 
-void server::complete_refusals(refusal_completion complete) {
+void server::set_refusal_hook(refusal_hook complete) {
     state_->shared->complete_refusal = std::move(complete);
 }
 
--- a/src/ferryroad/http/server.hpp
+++ b/src/ferryroad/http/server.hpp
@@ -62,9 +62,9 @@
 
     /// Called before the server sends an error response of its own to input that never reached the
     /// handler (malformed, too large, too many connections). May change the response.
-    using refusal_completion = std::function<void(response&)>;
+    using refusal_hook = std::function<void(response&)>;
     /// Sets that callback. Call it before `listen`.
-    void complete_refusals(refusal_completion complete);
+    void set_refusal_hook(refusal_hook complete);
 
     /// Starts listening and accepting connections. Port 0 chooses a free port.
     /// @return the actual address. @throws boost::system::system_error if it can't listen there.
@@ -76,7 +76,7 @@
     /// First step of a graceful shutdown behind a load balancer that takes a while to notice that
     /// this server is leaving: still accepts connections, but closes each one after its next
     /// response.
-    void begin_leaving();
+    void disable_keep_alive();
 
     /// Graceful shutdown: stops accepting, closes idle connections and completes requests in
     /// progress with `Connection: close`. Returns when the last connection is closed.
--- a/src/ferryroad/http/session.cpp
+++ b/src/ferryroad/http/session.cpp
@@ -1,6 +1,6 @@
 #include "ferryroad/http/session.hpp"
 
-#include "ferryroad/http/error_answer.hpp"
+#include "ferryroad/http/error_response.hpp"
 #include "ferryroad/http/session_writer.hpp"
 #include "ferryroad/runtime/log.hpp"
 
@@ -121,7 +121,7 @@
         const error_text text{
             "server_error", "internal_error",
             failed ? "the request's handler failed" : "the request's handler gave no answer"};
-        response answer = error_answer(500, text);
+        response answer = error_response(500, text);
         co_await writer.send(std::move(answer));
     }
     co_return writer.may_keep_alive();
@@ -148,7 +148,7 @@
 runtime::task<void> session::write_refusal(unsigned status, std::string_view code,
                                            std::string_view message) {
     const std::string_view type = status == 503 ? "server_error" : "invalid_request_error";
-    response answer = error_answer(status, {type, code, message});
+    response answer = error_response(status, {type, code, message});
     if (status == 503) {
         answer.headers.add("Retry-After", "1");
     }
--- a/src/ferryroad/http/session.hpp
+++ b/src/ferryroad/http/session.hpp
@@ -13,9 +13,9 @@
 struct server_shared {
     server_limits limits;
     server::handler handle;
-    server::refusal_completion complete_refusal;  ///< May be empty.
-    bool leaving = false;                         ///< Each response closes its connection.
-    bool draining = false;  ///< No connections are accepted, idle ones are closed.
+    server::refusal_hook complete_refusal;  ///< May be empty.
+    bool leaving = false;                   ///< Each response closes its connection.
+    bool draining = false;                  ///< No connections are accepted, idle ones are closed.
     std::size_t active_requests = 0;
 };
 
--- a/src/ferryroad/relay/planned_stop.cpp
+++ b/src/ferryroad/relay/planned_stop.cpp
@@ -10,7 +10,7 @@
                                  stop_settings settings, std::function<void()> refuse_new) {
     using boost::asio::experimental::awaitable_operators::operator||;
     const base::monotonic_time last = scheduler.now() + settings.grace - settings.margin;
-    callers.begin_leaving();
+    callers.disable_keep_alive();
     const base::duration notice = std::min(settings.notice, settings.grace / 3);
     co_await scheduler.sleep_for(notice);
     refuse_new();
--- a/src/ferryroad/relay/refusal.cpp
+++ b/src/ferryroad/relay/refusal.cpp
@@ -1,6 +1,6 @@
 #include "ferryroad/relay/refusal.hpp"
 
-#include "ferryroad/http/error_answer.hpp"
+#include "ferryroad/http/error_response.hpp"
 
 #include <array>
 #include <cstdio>
@@ -103,7 +103,7 @@
 http::response to_response(const relay_refusal& refusal) {
     const unsigned status = status_of(refusal);
     const std::string_view type = status < 500 ? "invalid_request_error" : "server_error";
-    http::response answer = http::error_answer(
+    http::response answer = http::error_response(
         status, {type, to_string(refusal.cause), core::execution::to_string(refusal.report)});
     const bool may_retry = status == unavailable || status == too_many_requests;
     if (may_retry && refusal.retry_after) {
--- a/test/caller/front_fixture.hpp
+++ b/test/caller/front_fixture.hpp
@@ -33,8 +33,7 @@
 
     caller_fixture() {
         router.service.observe(executions);
-        server.complete_refusals(
-            [this](http::response& answer) { front.complete_refusal(answer); });
+        server.set_refusal_hook([this](http::response& answer) { front.complete_refusal(answer); });
     }
 
     /// Sends `bytes`. @return everything received until the server closed the connection.
--- a/test/http/client_relay_test.cpp
+++ b/test/http/client_relay_test.cpp
@@ -119,7 +119,7 @@
     cr_assert_eq(server.requests(), still_to_be_sent ? 1 : 0);
     if (!still_to_be_sent) {
         cr_assert(stream.error().code == http::error_code::withheld);
-        cr_assert_not(client.keeps_connection(server.address()));
+        cr_assert_not(client.has_idle_connection(server.address()));
     }
 }
 
