--- a/src/ferryroad/ctl/commands.cpp
+++ b/src/ferryroad/ctl/commands.cpp
@@ -2,8 +2,8 @@
 
 #include "ferryroad/catalog/codec.hpp"
 #include "ferryroad/ctl/command_line.hpp"
-#include "ferryroad/ctl/log_story.hpp"
 #include "ferryroad/ctl/printer.hpp"
+#include "ferryroad/ctl/request_log.hpp"
 #include "ferryroad/ctl/router_client.hpp"
 #include "ferryroad/operator/messages/catalog_codec.hpp"
 
--- a/src/ferryroad/ctl/log_story.cpp
+++ b/src/ferryroad/ctl/request_log.cpp
@@ -1,4 +1,4 @@
-#include "ferryroad/ctl/log_story.hpp"
+#include "ferryroad/ctl/request_log.hpp"
 
 #include <boost/json/object.hpp>
 #include <boost/json/parse.hpp>
--- a/test/ctl/log_story_test.cpp
+++ b/test/ctl/request_log_test.cpp
@@ -1,5 +1,5 @@
 /// Checks that only the request's own log lines are found, and that they are printed by timestamp.
-#include "ferryroad/ctl/log_story.hpp"
+#include "ferryroad/ctl/request_log.hpp"
 
 #include <criterion/criterion.h>
 
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-Test(log_story, finds_only_lines_of_the_request) {
+Test(request_log, finds_only_lines_of_the_request) {
     std::istringstream log(line("t1", "a1", "one") + "garbage a1\n" + line("t2", "b2", "a1") +
                            "{ \"broken\": a1\n" + "[]a1\n" + line("t3", "a1", "two"));
     const auto entries = find_log_entries(log, "a1");
@@ -27,12 +27,12 @@
     cr_assert(entries[1].message == "two");
 }
 
-Test(log_story, skips_a_prefix_before_the_json_object) {
+Test(request_log, skips_a_prefix_before_the_json_object) {
     std::istringstream log("   2.2899 router-1 " + line("t1", "a1", "one"));
     cr_assert_eq(find_log_entries(log, "a1").size(), 1);
 }
 
-Test(log_story, prints_sorted_by_timestamp) {
+Test(request_log, prints_sorted_by_timestamp) {
     std::istringstream second(line("t2", "a1", "later"));
     std::istringstream first(line("t1", "a1", "sooner"));
     auto entries = find_log_entries(second, "a1");
