--- a/emulator/platform/model_services.cpp
+++ b/emulator/platform/emulated_services.cpp
@@ -1,4 +1,4 @@
-#include "emulator/platform/model_services.hpp"
+#include "emulator/platform/emulated_services.hpp"
 
 namespace ferryroad::emulator {
 
@@ -23,8 +23,8 @@
     co_return std::nullopt;
 }
 
-runtime::task<platform::result<std::vector<platform::transaction_outcome>>> model_table::transact(
-    std::vector<platform::transaction> transactions) {
+runtime::task<platform::result<std::vector<platform::transaction_outcome>>>
+emulated_table::transact(std::vector<platform::transaction> transactions) {
     const auto refused = co_await admission_.admit(platform_service::table);
     if (refused) {
         co_return *refused;
@@ -36,7 +36,7 @@
     co_return std::move(committed.outcomes);
 }
 
-runtime::task<platform::result<std::vector<platform::row>>> model_table::read(
+runtime::task<platform::result<std::vector<platform::row>>> emulated_table::read(
     std::vector<platform::row_key> keys) {
     const auto refused = co_await admission_.admit(platform_service::table);
     if (refused) {
@@ -45,7 +45,7 @@
     co_return admission_.model().read(keys);
 }
 
-runtime::task<platform::result<std::vector<platform::row>>> model_table::scan(
+runtime::task<platform::result<std::vector<platform::row>>> emulated_table::scan(
     std::string prefix, platform::row_key after, std::uint32_t limit) {
     const auto refused = co_await admission_.admit(platform_service::table);
     if (refused) {
@@ -54,7 +54,8 @@
     co_return admission_.model().scan(prefix, after, limit);
 }
 
-runtime::task<platform::result<void>> model_object_store::put(std::string name, std::string bytes) {
+runtime::task<platform::result<void>> emulated_object_store::put(std::string name,
+                                                                 std::string bytes) {
     const auto refused = co_await admission_.admit(platform_service::objects);
     if (refused) {
         co_return *refused;
@@ -63,7 +64,7 @@
     co_return platform::result<void>();
 }
 
-runtime::task<platform::result<std::string>> model_object_store::get(std::string name) {
+runtime::task<platform::result<std::string>> emulated_object_store::get(std::string name) {
     const auto refused = co_await admission_.admit(platform_service::objects);
     if (refused) {
         co_return *refused;
@@ -75,7 +76,7 @@
     co_return *bytes;
 }
 
-runtime::task<platform::result<std::vector<platform::machine>>> model_machine_list::list() {
+runtime::task<platform::result<std::vector<platform::machine>>> emulated_machine_list::list() {
     const auto refused = co_await admission_.admit(platform_service::machines);
     if (refused) {
         co_return *refused;
--- a/emulator/platform/model_services.hpp
+++ b/emulator/platform/emulated_services.hpp
@@ -29,9 +29,9 @@
 };
 
 /// `platform::table` on the model. The model and the scheduler must outlive it.
-class model_table final : public platform::table {
+class emulated_table final : public platform::table {
   public:
-    model_table(platform_model& model, runtime::scheduler& scheduler)
+    emulated_table(platform_model& model, runtime::scheduler& scheduler)
         : admission_(model, scheduler) {}
 
     runtime::task<platform::result<std::vector<platform::transaction_outcome>>> transact(
@@ -47,9 +47,9 @@
 };
 
 /// `platform::object_store` on the model. The model and the scheduler must outlive it.
-class model_object_store final : public platform::object_store {
+class emulated_object_store final : public platform::object_store {
   public:
-    model_object_store(platform_model& model, runtime::scheduler& scheduler)
+    emulated_object_store(platform_model& model, runtime::scheduler& scheduler)
         : admission_(model, scheduler) {}
 
     runtime::task<platform::result<void>> put(std::string name, std::string bytes) override;
@@ -60,9 +60,9 @@
 };
 
 /// `platform::machine_list` on the model. The model and the scheduler must outlive it.
-class model_machine_list final : public platform::machine_list {
+class emulated_machine_list final : public platform::machine_list {
   public:
-    model_machine_list(platform_model& model, runtime::scheduler& scheduler)
+    emulated_machine_list(platform_model& model, runtime::scheduler& scheduler)
         : admission_(model, scheduler) {}
 
     runtime::task<platform::result<std::vector<platform::machine>>> list() override;
--- a/test/operator/running_router.hpp
+++ b/test/operator/running_router.hpp
@@ -3,7 +3,7 @@
 /// loopback, over an emulated platform. Its event loop runs on a thread of its own.
 #pragma once
 
-#include "emulator/platform/model_services.hpp"
+#include "emulator/platform/emulated_services.hpp"
 #include "ferryroad/operator/service/operator_server.hpp"
 #include "ferryroad/router/configuration/configuration_service.hpp"
 #include "ferryroad/runtime/asio_scheduler.hpp"
@@ -120,8 +120,8 @@
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type> guard_;
     runtime::asio_scheduler scheduler_;
     emulator::platform_model platform_;
-    emulator::model_table table_;
-    emulator::model_object_store objects_;
+    emulator::emulated_table table_;
+    emulator::emulated_object_store objects_;
     router::no_peers peers_;
     router::configuration_service configuration_;
     one_engine_status status_;
--- a/test/platform/batching_table_test.cpp
+++ b/test/platform/batching_table_test.cpp
@@ -3,7 +3,7 @@
 #include "ferryroad/platform/batching_table.hpp"
 
 #include "bench/simulation/virtual_scheduler.hpp"
-#include "emulator/platform/model_services.hpp"
+#include "emulator/platform/emulated_services.hpp"
 
 #include <boost/asio/experimental/awaitable_operators.hpp>
 #include <criterion/criterion.h>
@@ -59,7 +59,7 @@
     bench::simulation::virtual_time time{1};
     bench::simulation::virtual_scheduler scheduler{time, 1};
     emulator::platform_model model{unlimited()};
-    emulator::model_table direct{model, scheduler};
+    emulator::emulated_table direct{model, scheduler};
     counting_table counted{direct};
     platform::batching_table table;
     std::vector<std::optional<outcomes>> results;
--- a/test/platform/services_test.cpp
+++ b/test/platform/services_test.cpp
@@ -1,6 +1,6 @@
 /// Contract tests of the platform's services: each case runs against the emulated services directly
 /// and over HTTP, and must give the same outcome.
-#include "emulator/platform/model_services.hpp"
+#include "emulator/platform/emulated_services.hpp"
 #include "emulator/platform/platform_server.hpp"
 #include "ferryroad/platform/http_services.hpp"
 #include "test/http/loopback.hpp"
@@ -290,9 +290,9 @@
     test::loopback loop;
     emulator::platform_model model(quick_options());
     model.set_faults(given.faults);
-    emulator::model_table table(model, loop.scheduler);
-    emulator::model_object_store objects(model, loop.scheduler);
-    emulator::model_machine_list machines(model, loop.scheduler);
+    emulator::emulated_table table(model, loop.scheduler);
+    emulator::emulated_object_store objects(model, loop.scheduler);
+    emulator::emulated_machine_list machines(model, loop.scheduler);
     std::string outcome;
     const auto body = [&]() -> runtime::task<void> {
         outcome = co_await given.run({table, objects, machines, model});
--- a/test/router/configuration/simulated_routers.hpp
+++ b/test/router/configuration/simulated_routers.hpp
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "bench/simulation/virtual_scheduler.hpp"
-#include "emulator/platform/model_services.hpp"
+#include "emulator/platform/emulated_services.hpp"
 #include "ferryroad/router/configuration/configuration_service.hpp"
 
 #include <memory>
@@ -98,9 +98,9 @@
     ~simulated_router() { scheduler.kill(); }
 
     virtual_scheduler scheduler;
-    emulator::model_table model;
+    emulator::emulated_table model;
     failing_table table;
-    emulator::model_object_store objects;
+    emulator::emulated_object_store objects;
     simulated_link link;
     configuration_service service;
 };
--- a/test/router/leases/lease_test.cpp
+++ b/test/router/leases/lease_test.cpp
@@ -2,7 +2,7 @@
 /// that carry their fencing tokens.
 #include "bench/simulation/engines/engine_client.hpp"
 #include "bench/simulation/faults/fault_counts.hpp"
-#include "emulator/platform/model_services.hpp"
+#include "emulator/platform/emulated_services.hpp"
 #include "ferryroad/leases/lease_service.hpp"
 #include "ferryroad/platform/json_codec.hpp"
 #include "ferryroad/router/leases/model_placement.hpp"
@@ -86,7 +86,7 @@
     ~router_process() { scheduler.kill(); }
 
     virtual_scheduler scheduler;
-    emulator::model_table table_model;
+    emulator::emulated_table table_model;
     metered_table table;
     engine_client engines;
     backends::backend_directory directory;
--- a/test/router/membership/links_test.cpp
+++ b/test/router/membership/links_test.cpp
@@ -1,5 +1,5 @@
 /// Typed calls between routers through the dispatcher, the configuration link and the prefix link.
-#include "emulator/platform/model_services.hpp"
+#include "emulator/platform/emulated_services.hpp"
 #include "ferryroad/router/membership/configuration_link.hpp"
 #include "ferryroad/router/membership/live_router_views.hpp"
 #include "ferryroad/router/membership/prefix_link.hpp"
@@ -78,8 +78,8 @@
     emulator::platform_model platform({});
     struct side {
         simulated_peer& peer;
-        emulator::model_table table;
-        emulator::model_object_store objects;
+        emulator::emulated_table table;
+        emulator::emulated_object_store objects;
         configuration_link link;
         configuration_service service;
 
